--- a/src/limedeck/daemon/callers.py
+++ b/src/limedeck/daemon/callers.py
@@ -161,7 +161,7 @@
         service = request.target.service.name
         budget = self._budgets.setdefault(service, RetryBudget())
         now = steady_clock()
-        budget.note_request(now)
+        budget.record_request(now)
         core = RequestCore(
             request.request_id, request.target, request.deadline, self._view, budget, now
         )
@@ -205,18 +205,18 @@
                 _backend_request(request, attempt, started), attempt.deadline - started
             )
             gathered = await self._gather(answer)
-            state.note_answer(steady_clock() - started)
+            state.record_response(steady_clock() - started)
             result = "answered"
             return gathered
         except AttemptRefused as error:
             result = error.refusal
             not_owner = error.refusal == NOT_OWNER
             if not not_owner:
-                state.note_failure(steady_clock())
+                state.record_failure(steady_clock())
             return core.handle_failure(FailurePhase.REFUSED, steady_clock(), not_owner)
         except AttemptFailed as error:
             result = error.phase.value
-            state.note_failure(steady_clock())
+            state.record_failure(steady_clock())
             self._log.info(
                 "attempt_failed",
                 request_id=request.request_id,
--- a/src/limedeck/daemon/problems.py
+++ b/src/limedeck/daemon/problems.py
@@ -22,7 +22,7 @@
     RefusalReason.BACKEND_UNREACHABLE: 503,
     RefusalReason.BACKEND_REFUSED: 503,
     RefusalReason.DEADLINE_EXCEEDED: 504,
-    RefusalReason.ANSWER_LOST: 502,
+    RefusalReason.RESPONSE_LOST: 502,
 }
 
 
--- a/src/limedeck/forwarding/admission.py
+++ b/src/limedeck/forwarding/admission.py
@@ -6,14 +6,14 @@
 
 from limedeck.forwarding.availability import Unavailable
 from limedeck.forwarding.backend_state import BackendState
-from limedeck.forwarding.commands import Belief, Reason, Refuse
-from limedeck.forwarding.permits import Bound
-from limedeck.forwarding.spread import spread_of
+from limedeck.forwarding.commands import LoadEstimate, RefusalReason, Refuse
+from limedeck.forwarding.hashing import hash_fraction
+from limedeck.forwarding.permits import RateBound
 from limedeck.identity import Seconds
 from limedeck.model import Route
 from limedeck.routing.outcomes import Outcome
 
-RETRY_PAUSE: Seconds = 0.05
+RETRY_DELAY: Seconds = 0.05
 """Before the same owner is asked again; about the time that frees a slot."""
 RETRY_AFTER: Seconds = 0.1
 """If nothing is known of when there is room; about the time of one request. An estimate."""
@@ -38,33 +38,33 @@
     ----------
     keyed
         It is for a key, which has one owner.
-    arrived
+    arrived_at
         When it came in, on this node's clock.
     until
         When its caller stops waiting, or its route's time is over.
-    returned
+    is_client_retry
         The caller was here before with the same request and has come back.
-    maybe_run
+    may_have_run
         A back end may have run it.
     """
 
     request_id: bytes
     route: Route
     keyed: bool
-    arrived: Seconds
+    arrived_at: Seconds
     until: Seconds
-    returned: bool = False
-    maybe_run: bool = False
+    is_client_retry: bool = False
+    may_have_run: bool = False
 
     def refuse(
         self,
-        reason: Reason,
+        reason: RefusalReason,
         retry_after: Seconds,
-        belief: Belief | Bound | Unavailable | None = None,
+        details: LoadEstimate | RateBound | Unavailable | None = None,
     ) -> Refuse:
         """Give the request up, with what is known of whether it has run."""
-        outcome = Outcome.UNKNOWN if self.maybe_run else Outcome.NOT_RUN
-        return Refuse(outcome, reason, retry_after, belief)
+        outcome = Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
+        return Refuse(outcome, reason, retry_after, details)
 
     def refusal(self, state: BackendState, now: Seconds) -> Refuse | None:
         """Refuse what would be lost at this back end, or is expected to miss its objective."""
@@ -81,14 +81,14 @@
         caller a connection and an answer's time; a key has no other back end.
         """
         is_full = state.is_full(now) or (self.keyed and state.is_known_full(now))
-        if self.maybe_run or not is_full:
+        if self.may_have_run or not is_full:
             return None
         return self._overloaded(state, now)
 
     def _refusal_by_deadline(self, state: BackendState, now: Seconds) -> Refuse | None:
         """Refuse at once what its time cannot suffice for, also if the caller has come back."""
         expected = state.expected_time_of(self.route.name, now)
-        if self.maybe_run or expected is None or expected <= HOPELESS * (self.until - now):
+        if self.may_have_run or expected is None or expected <= HOPELESS * (self.until - now):
             return None
         return self._overloaded(state, now)
 
@@ -98,28 +98,28 @@
         The back end keeps a queue that is short enough for the requests it takes. A caller that
         has come back with too little time for another return is served, though late.
         """
-        elapsed = now - self.arrived
+        elapsed = now - self.arrived_at
         objective = self.route.objective
         expected = state.expected_time_of(self.route.name, now)
-        is_early = elapsed <= EARLY_PART * objective and not self.maybe_run
-        is_last = self.returned and self.until - now < LAST_RETURN * objective
+        is_early = elapsed <= EARLY_PART * objective and not self.may_have_run
+        is_last = self.is_client_retry and self.until - now < LAST_RETURN * objective
         if is_last or expected is None or not is_early or elapsed + expected <= objective:
             return None
         return self._overloaded(state, now)
 
     def _overloaded(self, state: BackendState, now: Seconds) -> Refuse:
         expected = state.expected_time_of(self.route.name, now)
-        belief = Belief(
+        details = LoadEstimate(
             state.backend.backend_id, expected, state.expected_load(now), state.load_age(now)
         )
         retry_after = self.time_until_room(state, now)
-        return self.refuse(Reason.OVERLOADED, retry_after, belief)
+        return self.refuse(RefusalReason.OVERLOADED, retry_after, details)
 
     def time_until_room(self, state: BackendState, now: Seconds) -> Seconds:
         """When a caller should come back: the longer the queue, the later, and not all at once."""
         expected = state.expected_time_of(self.route.name, now)
         if expected is None:
             return RETRY_AFTER
-        too_long = now - self.arrived + expected - EARLY_PART * self.route.objective
-        spread = 1.0 + 0.5 * spread_of(self.request_id)
-        return min(max(too_long * spread, RETRY_PAUSE), LONGEST_RETRY_AFTER)
+        too_long = now - self.arrived_at + expected - EARLY_PART * self.route.objective
+        spread = 1.0 + 0.5 * hash_fraction(self.request_id)
+        return min(max(too_long * spread, RETRY_DELAY), LONGEST_RETRY_AFTER)
--- a/src/limedeck/forwarding/availability.py
+++ b/src/limedeck/forwarding/availability.py
@@ -16,14 +16,14 @@
 from limedeck.forwarding.backoffs import BackoffLedger
 from limedeck.forwarding.leaving import LeavingLedger
 from limedeck.forwarding.limits import LimitLedger
-from limedeck.forwarding.permits import Bound
+from limedeck.forwarding.permits import RateBound
 from limedeck.identity import Seconds
 
 OWNER_STOP: Seconds = 2.0
 """How long an owner in an evacuated zone still receives requests while its keys move, counted from
 when this node learned of the evacuation. Nodes learn of it within one second, or two if the store
 rejects their reads."""
-LEAVING_OWNER_STOP: Seconds = 1.0
+LEAVING_OWNER_GRACE: Seconds = 1.0
 """How long a leaving owner still receives requests while its keys move. Back ends continue to serve
 for at least two seconds after their announcement."""
 
@@ -34,7 +34,7 @@
 """Expected response time of a probe; requests beyond `MAX_PROBES` are told to retry after it."""
 
 
-class Cause(enum.Enum):
+class UnavailableCause(enum.Enum):
     """Why a back end may not receive requests."""
 
     LEAVING = "leaving"
@@ -55,7 +55,7 @@
     """
 
     backend_id: str
-    cause: Cause
+    cause: UnavailableCause
     remaining: Seconds | None = None
 
 
@@ -87,15 +87,15 @@
         """Return why a back end may not receive an unkeyed request; None if it may."""
         backend = state.backend
         if self._leaving_since(state) is not None:
-            return Unavailable(backend.backend_id, Cause.LEAVING)
+            return Unavailable(backend.backend_id, UnavailableCause.LEAVING)
         if backend.zone in self._evacuated:
-            return Unavailable(backend.backend_id, Cause.EVACUATED)
+            return Unavailable(backend.backend_id, UnavailableCause.EVACUATED)
         backing_off = self.check_backoff(state, now)
         if backing_off is not None:
             return backing_off
         if self.is_turning_away(state, now):
             remaining = state.turned_away_until - now
-            return Unavailable(backend.backend_id, Cause.NO_PERMIT, remaining)
+            return Unavailable(backend.backend_id, UnavailableCause.NO_PERMIT, remaining)
         return None
 
     def check_owner(self, state: BackendState, now: Seconds) -> Unavailable | None:
@@ -105,16 +105,16 @@
         """
         backend = state.backend
         leaving_since = self._leaving_since(state)
-        if leaving_since is not None and now - leaving_since >= LEAVING_OWNER_STOP:
-            return Unavailable(backend.backend_id, Cause.LEAVING)
+        if leaving_since is not None and now - leaving_since >= LEAVING_OWNER_GRACE:
+            return Unavailable(backend.backend_id, UnavailableCause.LEAVING)
         evacuated_since = self._evacuated.get(backend.zone)
         if evacuated_since is not None and now - evacuated_since >= OWNER_STOP:
-            return Unavailable(backend.backend_id, Cause.EVACUATED)
+            return Unavailable(backend.backend_id, UnavailableCause.EVACUATED)
         backing_off = self.check_backoff(state, now)
         if backing_off is not None:
             return backing_off
         if state.is_cold(now):
-            return Unavailable(backend.backend_id, Cause.COLD, state.cold_for(now))
+            return Unavailable(backend.backend_id, UnavailableCause.COLD, state.cold_for(now))
         return None
 
     def check_backoff(self, state: BackendState, now: Seconds) -> Unavailable | None:
@@ -127,15 +127,15 @@
         if backoff is None:
             return None
         if now < backoff.resume_at:
-            return Unavailable(backend_id, Cause.BACKING_OFF, backoff.resume_at - now)
+            return Unavailable(backend_id, UnavailableCause.BACKING_OFF, backoff.resume_at - now)
         if state.outstanding >= MAX_PROBES:
-            return Unavailable(backend_id, Cause.BACKING_OFF, PROBE_TIME)
+            return Unavailable(backend_id, UnavailableCause.BACKING_OFF, PROBE_TIME)
         return None
 
     def check_permit_holder(self, state: BackendState, now: Seconds) -> Unavailable | None:
         """Return why a request may no longer use its permit for a back end; None if it may."""
         unavailable = self.check_unkeyed(state, now)
-        if unavailable is None or unavailable.cause is Cause.NO_PERMIT:
+        if unavailable is None or unavailable.cause is UnavailableCause.NO_PERMIT:
             return None
         return unavailable
 
@@ -163,7 +163,7 @@
             return True
         return may_move and state.is_cold(now)
 
-    def bound_of(self, state: BackendState, now: Seconds) -> Bound | None:
+    def rate_bound(self, state: BackendState, now: Seconds) -> RateBound | None:
         """Return a back end's request-rate bound across all nodes; None if it has none.
 
         The bound is the lower of the limit that it states and the cold rate while it is cold.
@@ -172,7 +172,7 @@
         named = self._limits.rate(state.backend.backend_id)
         if named is not None:
             rates.append(named)
-        return Bound(state.backend.backend_id, min(rates)) if rates else None
+        return RateBound(state.backend.backend_id, min(rates)) if rates else None
 
     def is_turning_away(self, state: BackendState, now: Seconds) -> bool:
         """Whether permit requests for a back end are being denied.
@@ -180,7 +180,7 @@
         Ignored once the back end has no bound: a limit may be lifted before the retry time that the
         leader gave to this node.
         """
-        return now < state.turned_away_until and self.bound_of(state, now) is not None
+        return now < state.turned_away_until and self.rate_bound(state, now) is not None
 
     def _leaving_since(self, state: BackendState) -> Seconds | None:
         """Return when this node first learned, by answer or entry, that a back end is leaving."""
--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from limedeck.forwarding.protocol import LoadReport
-from limedeck.forwarding.work import ServiceWork
+from limedeck.forwarding.request_cost import ServiceWork
 from limedeck.identity import NEVER, Seconds
 from limedeck.model import Backend
 
@@ -25,7 +25,7 @@
 """Other nodes' requests are believed to have grown or shrunk so many times at most."""
 FAILURES_TO_EJECT = 2
 """One failure may be chance."""
-EJECTION_TIME: Seconds = 0.5
+BASE_EJECTION_TIME: Seconds = 0.5
 """A back end that failed is tried again after so long; twice as long each time that it fails."""
 ENDED_REST: Seconds = 4.0
 """A back end whose process was seen to have ended is taken for cold until its entry changes, for so
@@ -38,7 +38,7 @@
 to 47 requests in a second where 14 are allowed, by five nodes whose rests of `ENDED_REST` were over
 (soak, seed 420021). An estimate, above the time for which back ends say that they are cold; nobody
 could tell a back end that rests so long in vain from one that would fall over."""
-LONGEST_EJECTION: Seconds = 4.0
+MAX_EJECTION_TIME: Seconds = 4.0
 """About as long as back ends that crash are away; a longer one keeps a sound one idle."""
 PACE_MEMORY: Seconds = 0.2
 """How long its work takes is believed to have gone back by two thirds towards its mean after so
@@ -145,15 +145,15 @@
         """How much longer it will be cold, as far as is known."""
         return max(self._cold_until, self._ended_until) - now if self.is_cold(now) else 0.0
 
-    def note_load(self, report: LoadReport, now: Seconds) -> None:
+    def record_load(self, report: LoadReport, now: Seconds) -> None:
         """Take in the load that an answer told."""
         self.tells_load = True
         self._others = max(report.running + report.waiting - self.outstanding, 0.0)
         self._reported_at = now
-        self._pace = report.pace
-        self._mean_pace += PACE_SMOOTHING * (report.pace - self._mean_pace)
+        self._pace = report.slowdown
+        self._mean_pace += PACE_SMOOTHING * (report.slowdown - self._mean_pace)
 
-    def note_fleet(
+    def record_fleet_load(
         self, outstanding: int, service_time: Seconds, now: Seconds, excluded: bool = False
     ) -> None:
         """Take in what the leader tells: all nodes' requests there, and its service time.
@@ -169,7 +169,7 @@
         if service_time > 0.0:
             self.service_time = service_time
 
-    def note_answer(
+    def record_response(
         self,
         took: Seconds,
         load: LoadReport | None,
@@ -212,11 +212,11 @@
         self._work_time = 0.0
         return sample
 
-    def is_passed_over(self, now: Seconds) -> bool:
+    def is_ejected(self, now: Seconds) -> bool:
         """Whether it failed lately, at this node or at others."""
         return now < self.ejected_until or now < self._excluded_until
 
-    def note_failure(self, now: Seconds, own_fault: bool = True) -> None:
+    def record_failure(self, now: Seconds, own_fault: bool = True) -> None:
         """An attempt ended without an answer that can be used.
 
         Parameters
@@ -227,24 +227,24 @@
         self.failures += 1
         self._faults += own_fault
         if self.failures >= FAILURES_TO_EJECT:
-            span = EJECTION_TIME * 2.0 ** min(self.ejections, 10)
-            self.ejected_until = now + min(span, LONGEST_EJECTION)
+            span = BASE_EJECTION_TIME * 2.0 ** min(self.ejections, 10)
+            self.ejected_until = now + min(span, MAX_EJECTION_TIME)
             self.ejections += 1
 
-    def note_ended(self, now: Seconds) -> None:
+    def record_process_exit(self, now: Seconds) -> None:
         """No process listens at its address: no second failure is needed to pass it over."""
         self.failures = max(self.failures, FAILURES_TO_EJECT - 1)
-        self.note_failure(now)
+        self.record_failure(now)
         self._ended_at = now
         self._ended_until = now + ENDED_REST
 
-    def keep_rest(self, now: Seconds) -> None:
+    def extend_exit_cooldown(self, now: Seconds) -> None:
         """The store is away: what has ended cannot be heard of."""
         if now < self._ended_until:
             latest = min(now, self._ended_at + LONGEST_UNHEARD_REST)
             self._ended_until = max(self._ended_until, latest + ENDED_REST)
 
-    def note_full(self, now: Seconds) -> None:
+    def record_queue_full(self, now: Seconds) -> None:
         """It turned a request away because its queue is full."""
         if self.tells_load and self._reported_at == now:
             told = self.outstanding + self._others
--- a/src/limedeck/forwarding/backends.py
+++ b/src/limedeck/forwarding/backends.py
@@ -9,11 +9,11 @@
 from limedeck.forwarding.availability import Availability, Unavailable
 from limedeck.forwarding.backend_state import BackendState
 from limedeck.forwarding.backoffs import BackoffLedger
+from limedeck.forwarding.hashing import hash_fraction
 from limedeck.forwarding.leaving import LeavingLedger
 from limedeck.forwarding.limits import LimitLedger
-from limedeck.forwarding.spread import spread_of
-from limedeck.forwarding.stale_load import levelling_shares
-from limedeck.forwarding.work import ServiceWork
+from limedeck.forwarding.load_leveling import levelling_shares
+from limedeck.forwarding.request_cost import ServiceWork
 from limedeck.identity import Seconds
 from limedeck.model import Backend
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Contact:
+class Endpoint:
     """How a back end was reached when it was last listed.
 
     Parameters
@@ -80,7 +80,7 @@
         self._node_id = node_id
         self._states: dict[str, BackendState] = {}
         self._services: dict[str, dict[str, BackendState]] = {}
-        self._contacts: dict[str, Contact] = {}
+        self._contacts: dict[str, Endpoint] = {}
         self._lives: dict[str, str] = {}
         self._work: dict[str, ServiceWork] = {}
         self._cold_rates: dict[str, float] = {}
@@ -103,7 +103,7 @@
             self.leaving.forget(former)
             self.backoffs.forget(former)
         self._lives[backend.name] = backend.backend_id
-        self._contacts[backend.backend_id] = Contact(backend.address, backend.name)
+        self._contacts[backend.backend_id] = Endpoint(backend.address, backend.name)
         state = self._states.get(backend.backend_id)
         if state is None:
             work = self._work.setdefault(backend.service, ServiceWork())
@@ -146,10 +146,10 @@
         for state in self._states.values():
             state.cold_rate = self._cold_rates.get(state.backend.service, 0.0)
 
-    def keep_rests(self, now: Seconds) -> None:
+    def extend_exit_cooldowns(self, now: Seconds) -> None:
         """The store is away: back ends that have ended cannot be heard of."""
         for state in self._states.values():
-            state.keep_rest(now)
+            state.extend_exit_cooldown(now)
 
     def drop_old_statements(self, now: Seconds) -> None:
         """Drop statements of back ends that are no longer listed, and expired back-offs."""
@@ -159,7 +159,7 @@
         known = self._states.keys() | set(self.leaving.leaving_backends())
         self._draining_ids &= known
 
-    def note_store_confirmed(self, silence: Seconds, now: Seconds) -> None:
+    def record_store_confirmation(self, silence: Seconds, now: Seconds) -> None:
         """Record that the store last confirmed the leader `silence` seconds ago."""
         known = self._store_confirmed_at
         confirmed_at = now - silence
@@ -201,7 +201,7 @@
         """Return a back end's state."""
         return self._states.get(backend_id)
 
-    def last_contact(self, backend_id: str) -> Contact | None:
+    def last_endpoint(self, backend_id: str) -> Endpoint | None:
         """Return how a back end was last reached, though its entry may be gone."""
         return self._contacts.get(backend_id)
 
@@ -229,7 +229,7 @@
         ]
         # A cold one does a fifth of a warm one's work, and falls over with a little more.
         usable = [state for state in usable if not state.is_cold(now)] or usable
-        healthy = [state for state in usable if not state.is_passed_over(now)]
+        healthy = [state for state in usable if not state.is_ejected(now)]
         candidates = healthy if len(healthy) >= LEAST_HEALTHY * len(usable) else usable
         if not candidates:
             return None
@@ -247,15 +247,15 @@
         Mitzenmacher, "How useful is old information?" (1997).
         """
         near = [state for state in candidates if state.backend.zone == self._zone] or candidates
-        first = near[int(spread_of(b"1" + request_id) * len(near))]
+        first = near[int(hash_fraction(b"1" + request_id) * len(near))]
         others = [state for state in candidates if state is not first] or [first]
-        second = others[int(spread_of(b"2" + request_id) * len(others))]
+        second = others[int(hash_fraction(b"2" + request_id) * len(others))]
         typical = self._typical_time(candidates)
 
         def cost(state: BackendState) -> float:
             if self._names_limit(state):
                 return 0.0
-            spread = spread_of(state.backend.backend_id.encode() + request_id)
+            spread = hash_fraction(state.backend.backend_id.encode() + request_id)
             time = state.expected_time(now, typical) * (1.0 + NEARLY_EQUAL * spread)
             time *= state.relative_pace(now)
             return time if state.backend.zone == self._zone else time * OTHER_ZONE_FACTOR
@@ -289,7 +289,8 @@
         ]
         shares = levelling_shares(weighed, capacities, arrivals)
         drawn = [
-            candidates[drawn_index(shares, spread_of(mark + request_id))] for mark in (b"1", b"2")
+            candidates[drawn_index(shares, hash_fraction(mark + request_id))]
+            for mark in (b"1", b"2")
         ]
 
         def cost(state: BackendState) -> float:
--- a/src/limedeck/forwarding/backoffs.py
+++ b/src/limedeck/forwarding/backoffs.py
@@ -11,7 +11,7 @@
 from collections.abc import Container, Iterator
 from dataclasses import dataclass
 
-from limedeck.forwarding import spread
+from limedeck.forwarding import hashing
 from limedeck.identity import Seconds
 
 LONGEST_BACKOFF: Seconds = 300.0
@@ -30,7 +30,7 @@
     ----------
     requested
         Seconds requested by the answer that set this period.
-    heard_at
+    received_at
         When that answer arrived.
     ends_at
         End of the period, after the cap.
@@ -39,7 +39,7 @@
     """
 
     requested: Seconds
-    heard_at: Seconds
+    received_at: Seconds
     ends_at: Seconds
     resume_at: Seconds
 
@@ -84,15 +84,15 @@
         ends_at = now + min(seconds, LONGEST_BACKOFF)
         if seconds <= 0.0 or (known is not None and ends_at <= known.ends_at):
             return
-        fraction = spread.spread_of(f"{self._node_id} {backend_id}".encode())
+        fraction = hashing.hash_fraction(f"{self._node_id} {backend_id}".encode())
         backoff = Backoff(seconds, now, ends_at, ends_at + RETURN_SPREAD * fraction)
         self._backoffs[backend_id] = backoff
         self.events.append(BackoffStarted(backend_id, backoff))
 
-    def note_served(self, backend_id: str, asked_at: Seconds) -> None:
+    def record_served(self, backend_id: str, requested_at: Seconds) -> None:
         """End the back-off if the served request was sent after it."""
         known = self._backoffs.get(backend_id)
-        if known is not None and asked_at >= known.resume_at:
+        if known is not None and requested_at >= known.resume_at:
             del self._backoffs[backend_id]
             self.events.append(BackoffEnded(backend_id))
 
--- a/src/limedeck/forwarding/budget.py
+++ b/src/limedeck/forwarding/budget.py
@@ -53,22 +53,22 @@
         """Operators allow more or less from now on."""
         self._allowance = allowance
 
-    def note_request(self, now: Seconds) -> None:
+    def record_request(self, now: Seconds) -> None:
         """A request came in."""
         self._piece(now).requests += 1
         self._requests += 1
 
-    def try_take(self, now: Seconds, sharers: int) -> bool:
+    def try_acquire(self, now: Seconds, sharing_nodes: int) -> bool:
         """Use up one retry, if there is one left for this node.
 
         Parameters
         ----------
-        sharers
+        sharing_nodes
             Nodes that share the slack, see `forwarding.fleet_size`. Zero: this node has no part in
             it.
         """
         piece = self._piece(now)
-        slack = self._allowance.slack / sharers if sharers else 0.0
+        slack = self._allowance.slack / sharing_nodes if sharing_nodes else 0.0
         allowed = MARGIN * (self._allowance.ratio * self._requests + slack)
         if self._retries + 1 > allowed:
             return False
--- a/src/limedeck/forwarding/commands.py
+++ b/src/limedeck/forwarding/commands.py
@@ -7,12 +7,12 @@
 
 from limedeck.forwarding.availability import Unavailable
 from limedeck.forwarding.backend_state import BackendState
-from limedeck.forwarding.permits import Bound, PermitAsk
+from limedeck.forwarding.permits import PermitRequest, RateBound
 from limedeck.identity import Seconds
 from limedeck.routing.outcomes import Outcome
 
 
-class Reason(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a request was given up."""
 
     NO_OWNER = "no-owner"
@@ -20,7 +20,7 @@
     REFUSED = "refused-by-back-end"
     OVERLOADED = "overloaded"
     UNREACHABLE = "back-end-unreachable"
-    ANSWER_LOST = "answer-lost"
+    RESPONSE_LOST = "answer-lost"
     TIMED_OUT = "timed-out"
     STOPPED = "stopped"
     BAD_KEY = "bad-key"
@@ -50,18 +50,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPermit:
+class RequestPermit:
     """Command: ask whether this request may go to a back end that bears little.
 
     Parameters
     ----------
-    asked_at
+    requested_at
         When that was decided, on this node's clock: a permit is good for so long from then on.
     """
 
     state: BackendState
-    ask: PermitAsk
-    asked_at: Seconds
+    permit_request: PermitRequest
+    requested_at: Seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
+class LoadEstimate:
     """What a refusal rests on: one back end as it was believed to be, for the log.
 
     Parameters
@@ -99,15 +99,15 @@
     ----------
     retry_after
         In seconds, when the caller should come back.
-    belief
+    details
         The known state of a back end that caused the refusal: its queue, its bound, or why it
         may not receive requests. None for other causes.
     """
 
     outcome: Outcome
-    reason: Reason
+    reason: RefusalReason
     retry_after: Seconds
-    belief: Belief | Bound | Unavailable | None = None
+    details: LoadEstimate | RateBound | Unavailable | None = None
 
 
-Command = Attempt | AskPermit | Wait | Refuse
+Command = Attempt | RequestPermit | Wait | Refuse
--- a/src/limedeck/forwarding/crashes.py
+++ b/src/limedeck/forwarding/crashes.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from limedeck.forwarding.content import RequestSigns
+from limedeck.forwarding.request_content import RequestFingerprints
 from limedeck.identity import NEVER, Seconds
 
 CRASHES_TO_CONVICT = 3
@@ -60,7 +60,7 @@
 
     backend_id: str
     at: Seconds
-    lost: set[RequestSigns] = field(default_factory=set)
+    lost: set[RequestFingerprints] = field(default_factory=set)
     against: set[int] = field(default_factory=set)
 
 
@@ -113,7 +113,9 @@
         """Whether a request with it was lost in a crash and none has been served since."""
         return sign in self._suspects
 
-    def note_crash(self, backend_id: str, requests: Collection[RequestSigns], at: Seconds) -> int:
+    def note_crash(
+        self, backend_id: str, requests: Collection[RequestFingerprints], at: Seconds
+    ) -> int:
         """A back end has ended with these requests under way; return the crash's number.
 
         What was lost at other nodes is told later, so a crash grows.
@@ -134,19 +136,19 @@
                 self._hold_against(crash, request)
         return number
 
-    def _is_any_suspect(self, request: RequestSigns) -> bool:
-        return any(self.is_suspect(sign) for sign in request.narrowest_first)
+    def _is_any_suspect(self, request: RequestFingerprints) -> bool:
+        return any(self.is_suspect(sign) for sign in request.from_narrowest)
 
-    def _hold_against(self, crash: Crash, request: RequestSigns) -> None:
-        signs = {sign for sign in request.narrowest_first if self.served_at(sign) < crash.at}
-        if not signs:
+    def _hold_against(self, crash: Crash, request: RequestFingerprints) -> None:
+        fingerprints = {sign for sign in request.from_narrowest if self.served_at(sign) < crash.at}
+        if not fingerprints:
             return
         crash.lost.add(request)
         self._callers[request.caller] += 1
-        self._suspects.update(signs - crash.against)
-        crash.against |= signs
+        self._suspects.update(fingerprints - crash.against)
+        crash.against |= fingerprints
 
-    def note_served(self, sign: int, at: Seconds) -> bool:
+    def record_served(self, sign: int, at: Seconds) -> bool:
         """A back end has answered a request with it and goes on; tell whether that clears it."""
         self._served.pop(sign, None)
         self._served[sign] = at
@@ -189,14 +191,14 @@
         judged = [item for item in self._crashes.values() if item.at <= settled and item.against]
         candidates = [_unexplained(crash, known) for crash in judged]
         times: defaultdict[int, list[Seconds]] = defaultdict(list)
-        for crash, signs in zip(judged, candidates, strict=True):
-            for sign in signs:
+        for crash, fingerprints in zip(judged, candidates, strict=True):
+            for sign in fingerprints:
                 times[sign].append(crash.at)
         weights = {sign: self._weight(sign, found) for sign, found in times.items()}
         blamed: defaultdict[int, list[Seconds]] = defaultdict(list)
         unexplained: set[int] = set()
-        for crash, signs in zip(judged, candidates, strict=True):
-            for sign in _likeliest(crash, signs, weights):
+        for crash, fingerprints in zip(judged, candidates, strict=True):
+            for sign in _likeliest(crash, fingerprints, weights):
                 blamed[sign].append(crash.at)
                 if crash.against.isdisjoint(known):
                     unexplained.add(sign)
@@ -229,7 +231,7 @@
     def _clear(self, crash: Crash, sign: int) -> None:
         crash.against.discard(sign)
         cleared = {
-            request for request in crash.lost if crash.against.isdisjoint(request.narrowest_first)
+            request for request in crash.lost if crash.against.isdisjoint(request.from_narrowest)
         }
         crash.lost -= cleared
         for request in cleared:
@@ -254,16 +256,20 @@
         return crash.against
     wider: set[int] = set()
     for request in crash.lost:
-        for sign in explained.intersection(request.narrowest_first):
+        for sign in explained.intersection(request.from_narrowest):
             wider.update(request.wider_than(sign))
     return (wider & crash.against) - explained
 
 
-def _likeliest(crash: Crash, signs: set[int], weights: dict[int, int]) -> set[int]:
+def _likeliest(crash: Crash, fingerprints: set[int], weights: dict[int, int]) -> set[int]:
     """Signs that are blamed for a crash; none if nobody can tell which."""
-    most = max((weights[sign] for sign in signs), default=0)
+    most = max((weights[sign] for sign in fingerprints), default=0)
     found = set()
     for request in crash.lost:
-        tied = [sign for sign in request.narrowest_first if sign in signs and weights[sign] == most]
+        tied = [
+            sign
+            for sign in request.from_narrowest
+            if sign in fingerprints and weights[sign] == most
+        ]
         found.update(tied[:1])
     return found if len(found) == 1 or most >= CRASHES_TO_CONVICT_ALL else set()
--- a/src/limedeck/forwarding/fleet_size.py
+++ b/src/limedeck/forwarding/fleet_size.py
@@ -51,7 +51,7 @@
             return 0
         return self._heard[-1].count
 
-    def sharers(self, window: Seconds, now: Seconds) -> int:
+    def sharing_nodes(self, window: Seconds, now: Seconds) -> int:
         """Return how many nodes share what they may do in a window; zero: this one has no share."""
         if self._since is None or self._last is None:
             return 0
--- a/src/limedeck/forwarding/spread.py
+++ b/src/limedeck/forwarding/hashing.py
@@ -5,6 +5,6 @@
 import xxhash
 
 
-def spread_of(text: bytes) -> float:
+def hash_fraction(text: bytes) -> float:
     """A number from 0 to 1 that differs from text to text."""
     return xxhash.xxh32_intdigest(text) / float(1 << 32)
--- a/src/limedeck/forwarding/leaving.py
+++ b/src/limedeck/forwarding/leaving.py
@@ -26,15 +26,15 @@
     ----------
     is_leaving
         False if an earlier announcement is revoked.
-    asked_at
+    requested_at
         When the request was sent, or when the store entry changed.
-    heard_at
+    received_at
         When the answer arrived, or when the store entry changed.
     """
 
     is_leaving: bool
-    asked_at: Seconds
-    heard_at: Seconds
+    requested_at: Seconds
+    received_at: Seconds
 
     @property
     def is_default(self) -> bool:
@@ -52,8 +52,8 @@
         not shortened. A contradicting statement must have been made later beyond doubt.
         """
         if self.is_equivalent(known):
-            return self.is_leaving and self.heard_at < known.heard_at
-        return self.asked_at >= known.heard_at
+            return self.is_leaving and self.received_at < known.received_at
+        return self.requested_at >= known.received_at
 
 
 class LeavingLedger(statements.StatementLedger[LeavingStatement]):
@@ -76,7 +76,7 @@
     def leaving_since(self, backend_id: str) -> Seconds | None:
         """Return when the back end was first known to be leaving; None if it is not."""
         known = self.find(backend_id)
-        return known.heard_at if known is not None and known.is_leaving else None
+        return known.received_at if known is not None and known.is_leaving else None
 
     def leaving_backends(self) -> list[str]:
         """Return the ids of all leaving back ends, including unlisted ones."""
--- a/src/limedeck/forwarding/limits.py
+++ b/src/limedeck/forwarding/limits.py
@@ -26,15 +26,15 @@
     ----------
     rate
         Requests a second that it takes from all nodes together; None: it names no limit.
-    asked_at
+    requested_at
         When the request was sent to it.
-    heard_at
+    received_at
         When its answer came.
     """
 
     rate: float | None
-    asked_at: Seconds
-    heard_at: Seconds
+    requested_at: Seconds
+    received_at: Seconds
 
     @property
     def is_default(self) -> bool:
@@ -52,9 +52,9 @@
         its way for long must not bring a former limit back, or lift one that was named meanwhile.
         A request that is sent after the last word of the old limit came brings the new one.
         """
-        if self.asked_at >= known.heard_at:
+        if self.requested_at >= known.received_at:
             return True
-        if known.asked_at >= self.heard_at:
+        if known.requested_at >= self.received_at:
             return False
         return _strictness(self.rate) <= _strictness(known.rate)
 
--- a/src/limedeck/forwarding/owners.py
+++ b/src/limedeck/forwarding/owners.py
@@ -64,7 +64,7 @@
             for former in self._between(item.first, item.last):
                 if not former.is_alike(item):
                     changed.append(item.part(former.first, former.last))
-        return joined(changed)
+        return merge_adjacent(changed)
 
     def changed(self, version: int, changes: tuple[OwnedRange, ...]) -> OwnerMap:
         """Return the map with other owners for these ranges, which are in the order of the keys."""
@@ -76,7 +76,7 @@
             position = item.last + 1
         if self.ranges:
             kept += self._between(position, self.ranges[-1].last)
-        return OwnerMap(version, joined(kept))
+        return OwnerMap(version, merge_adjacent(kept))
 
     def _between(self, first: int, last: int) -> list[OwnedRange]:
         """Return the parts of ranges from one key to another, both inside."""
@@ -110,7 +110,7 @@
         return self.ranges[index]
 
 
-def joined(ranges: Iterable[OwnedRange]) -> tuple[OwnedRange, ...]:
+def merge_adjacent(ranges: Iterable[OwnedRange]) -> tuple[OwnedRange, ...]:
     """Join ranges side by side for which the same holds."""
     result: list[OwnedRange] = []
     for item in ranges:
--- a/src/limedeck/forwarding/permits.py
+++ b/src/limedeck/forwarding/permits.py
@@ -7,14 +7,14 @@
 spaces them by the limit. The bound holds whoever knows what, since nobody else lends:
 
 - A node that does not hear a leader has no permits, and sends nothing there.
-- A permit that was not used within `PERMIT_LIFE` of being asked for lapses, by the clock of the
+- A permit that was not used within `PERMIT_LIFETIME` of being asked for lapses, by the clock of the
   node that asked: it asked before the leader lent it.
 - Two nodes may both believe that they lead. At most one lends at the full rate at any time: one
   that the store has confirmed within `CONFIRMED_WITHIN`, and that was elected longer ago than that.
   Had another been elected since, the store would not have confirmed it. Others lend a quarter.
 
-With a limit of L a second, any 4 s hold at most 1.25 L (4 s + `PERMIT_LIFE`) + L `LONGEST_LAG` and
-one request more of each lender: below 1.5 L 4 s + 5.
+With a limit of L a second, any 4 s hold at most 1.25 L (4 s + `PERMIT_LIFETIME`) + L `LONGEST_LAG`
+and one request more of each lender: below 1.5 L 4 s + 5.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from limedeck.identity import Seconds
 
-PERMIT_LIFE: Seconds = 0.5
+PERMIT_LIFETIME: Seconds = 0.5
 """From the asking: above the longest wait for a permit and a slow leader's answer. What lapses is
 lost to the back end; at 4 requests a second it is two permits of a node that froze."""
 CONFIRMED_WITHIN: Seconds = 1.2
@@ -34,7 +34,7 @@
 LONGEST_LAG: Seconds = 0.2
 """Permits that nobody asked for are lent later, for so long: requests come at random, and with one
 limit's worth of them 0.4 of the permits would be lost otherwise. An estimate."""
-LEAST_RATE = 0.25
+MIN_RATE = 0.25
 """Requests a second that each leader lends for any back end, also one that names zero: without an
 answer it could not say that it is well again. One in four seconds; two leaders' are two of the five
 that a window allows beside the limit."""
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class RateBound:
     """What a back end takes from all nodes together.
 
     Parameters
@@ -57,19 +57,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PermitAsk:
+class PermitRequest:
     """A node wants to send a request.
 
     Parameters
     ----------
     bound
         As the asking node believes; the leader may know of a lower one.
-    patience
+    max_wait
         How long the request can wait for its turn, in seconds.
     """
 
-    bound: Bound
-    patience: Seconds
+    bound: RateBound
+    max_wait: Seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,10 +98,10 @@
     pause: Seconds
 
 
-PermitAnswer = Permit | NoPermit
+PermitResponse = Permit | NoPermit
 
 
-class PermitLender:
+class PermitIssuer:
     """Spaces the requests of all nodes to back ends that bear little, while this node leads.
 
     Parameters
@@ -115,9 +115,9 @@
         self._began = began
         self._last_turns: dict[str, Seconds] = {}
 
-    def answer(
-        self, ask: PermitAsk, known: float | None, store_silence: Seconds, now: Seconds
-    ) -> PermitAnswer:
+    def issue(
+        self, request: PermitRequest, known: float | None, store_silence: Seconds, now: Seconds
+    ) -> PermitResponse:
         """Lend a permit, if its turn comes within the request's patience.
 
         Parameters
@@ -127,19 +127,19 @@
         store_silence
             How long the store has not confirmed this leader, in seconds.
         """
-        rate = ask.bound.rate if known is None else min(ask.bound.rate, known)
-        interval = 1.0 / max(rate * self._part(store_silence, now), LEAST_RATE)
-        backend_id = ask.bound.backend_id
+        rate = request.bound.rate if known is None else min(request.bound.rate, known)
+        interval = 1.0 / max(rate * self._part(store_silence, now), MIN_RATE)
+        backend_id = request.bound.backend_id
         last_turn = self._last_turns.get(backend_id, self._began)
         turn = max(last_turn + interval, now - LONGEST_LAG)
-        if turn > now + ask.patience:
-            return NoPermit(max(turn - now - ask.patience, LEAST_PAUSE))
+        if turn > now + request.max_wait:
+            return NoPermit(max(turn - now - request.max_wait, LEAST_PAUSE))
         self._last_turns[backend_id] = turn
         return Permit(max(turn - now, 0.0))
 
     def forget_old(self, now: Seconds) -> None:
         """Drop what has no effect any more."""
-        settled = now - LONGEST_LAG - 1.0 / LEAST_RATE
+        settled = now - LONGEST_LAG - 1.0 / MIN_RATE
         for backend_id, turn in list(self._last_turns.items()):
             if turn < settled:
                 del self._last_turns[backend_id]
--- a/src/limedeck/forwarding/protocol.py
+++ b/src/limedeck/forwarding/protocol.py
@@ -18,18 +18,18 @@
         Requests.
     slots
         Requests it works on at once.
-    pace
+    slowdown
         How long its work takes at present, as a multiple of the usual; others use its machine too.
     """
 
     running: int
     waiting: int
     slots: int
-    pace: float = 1.0
+    slowdown: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseMetadata:
     """What the head of a back end's answer says besides its status.
 
     Parameters
@@ -51,7 +51,7 @@
         It names a limit that cannot be read, which changes nothing.
     leaving
         The back end is leaving and accepts no requests that are sent later.
-    credible
+    is_from_backend
         It is the answer of a back end; a success that is not must not be passed on.
     """
 
@@ -59,7 +59,7 @@
     not_run: bool
     wrong_instance: bool
     load: LoadReport | None
-    credible: bool
+    is_from_backend: bool
     unreadable_load: bool = False
     limit: float | None = None
     unreadable_limit: bool = False
@@ -95,7 +95,7 @@
         """Write the headers that a node adds towards a back end."""
 
     @abstractmethod
-    def answer_facts(self, status: int, headers: Headers) -> AnswerFacts:
+    def response_metadata(self, status: int, headers: Headers) -> ResponseMetadata:
         """Read the head of a back end's answer."""
 
     @abstractmethod
--- a/src/limedeck/forwarding/quarantine.py
+++ b/src/limedeck/forwarding/quarantine.py
@@ -12,7 +12,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, fields
 
-from limedeck.forwarding.content import RequestSigns, shown
 from limedeck.forwarding.crashes import (
     EVIDENCE_LIFE,
     MOST_CRASHES,
@@ -20,20 +19,21 @@
     ONE_END,
     CrashEvidence,
 )
-from limedeck.forwarding.quarantine_news import (
+from limedeck.forwarding.hashing import hash_fraction
+from limedeck.forwarding.quarantine_updates import (
     BackendEnded,
-    CrashNews,
+    CrashUpdate,
     Event,
-    News,
     Quarantine,
     QuarantineBegan,
     QuarantineEnded,
-    ServedNews,
+    QuarantineUpdate,
+    ServedUpdate,
 )
-from limedeck.forwarding.spread import spread_of
+from limedeck.forwarding.request_content import RequestFingerprints, format_fingerprint
 from limedeck.identity import NEVER, Seconds
 
-FIRST_SPAN: Seconds = 120.0
+BASE_QUARANTINE_TIME: Seconds = 120.0
 """A quarantine's length. A trial that fails costs one back end for some 5 s until it is back, warm
 and has keys, so one in so long costs 4% of one back end at most; and a caller whose request was
 mended at the back ends is not refused for long."""
@@ -56,7 +56,7 @@
 Above two looks at a port (0.1 s), a report's interval (0.25 s) and a status's (0.3 s)."""
 JUDGED_WITHIN: Seconds = GATHERING + 0.15
 """A crash is surely judged so long after it was found out: nodes look ten times a second."""
-MOST_LOSSES = 64
+MAX_LOST_REQUESTS = 64
 """Requests lost at one back end that are remembered until its end is known."""
 MOST_QUARANTINED = 2048
 """Remembered at once, the newest; some 0.5 MB, and 50 kB as a row of the store."""
@@ -65,7 +65,7 @@
 MOST_TOLD = 600
 """Signs of requests that one message names, if it holds more than one item: at most 16 kB. A node
 that starts among 2,000 quarantines is told all of them within four messages."""
-SIGNS = len(fields(RequestSigns))
+SIGNS = len(fields(RequestFingerprints))
 SAME_END: Seconds = 1.0
 """Two nodes' quarantines of one request are the same if they end within so long of each other."""
 
@@ -107,7 +107,7 @@
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
         self._evidence = CrashEvidence()
-        self._losses: dict[str, dict[RequestSigns, Seconds]] = {}
+        self._losses: dict[str, dict[RequestFingerprints, Seconds]] = {}
         self._quarantines: dict[int, Quarantine] = {}
         self._trials: dict[int, Seconds] = {}
         self._changes: dict[_Subject, _Change] = {}
@@ -136,7 +136,7 @@
         trial = max(trial, self._trials.get(request, NEVER) + TRIAL_TIME)
         return trial - now if trial > now else None
 
-    def held_until(self, request: int, now: Seconds) -> Seconds | None:
+    def blocked_until(self, request: int, now: Seconds) -> Seconds | None:
         """Until when a request waits for the judgement on it; None if it need not wait.
 
         Three back ends have ended with it under way, and nobody knows yet whether by its fault. In
@@ -145,33 +145,35 @@
         since = self._evidence.unsettled_since(request, now - JUDGED_WITHIN)
         return None if since == NEVER else since + JUDGED_WITHIN
 
-    def note_sent(self, request: int, now: Seconds) -> None:
+    def record_sent(self, request: int, now: Seconds) -> None:
         """It is sent to a back end."""
         if request in self._quarantines:
             self._trials[request] = now
 
-    def note_served(self, request: int, now: Seconds) -> None:
+    def record_served(self, request: int, now: Seconds) -> None:
         """A back end has answered it."""
         if request in self._quarantines or self._evidence.is_suspect(request):
-            self._take_served(ServedNews(request, now), None)
+            self._take_served(ServedUpdate(request, now), None)
 
     # ------------------------------------------------------------------ back ends
 
-    def note_lost(self, backend_id: str, request: RequestSigns, now: Seconds) -> None:
+    def record_lost_request(
+        self, backend_id: str, request: RequestFingerprints, now: Seconds
+    ) -> None:
         """The connection to a back end was lost while it was at work on a request."""
         if self._evidence.find(backend_id, now) is not None:
-            self._take_crash(CrashNews(backend_id, now, frozenset({request})), None, now)
+            self._take_crash(CrashUpdate(backend_id, now, frozenset({request})), None, now)
             return
         losses = self._losses.setdefault(backend_id, {})
-        if len(losses) < MOST_LOSSES:
+        if len(losses) < MAX_LOST_REQUESTS:
             losses[request] = now
 
-    def note_ended(self, backend_id: str, now: Seconds) -> None:
+    def record_process_exit(self, backend_id: str, now: Seconds) -> None:
         """A back end's process has ended."""
         if backend_id in self._losses:
-            self._take_crash(CrashNews(backend_id, now, frozenset()), None, now)
+            self._take_crash(CrashUpdate(backend_id, now, frozenset()), None, now)
 
-    def note_alive(self, backend_id: str) -> None:
+    def record_alive(self, backend_id: str) -> None:
         """A back end's process goes on: what was lost there is not the fault of a request."""
         self._losses.pop(backend_id, None)
 
@@ -208,7 +210,7 @@
         """Return all that are known, probations included."""
         return list(self._quarantines.values())
 
-    def news_since(self, told: int, peer: object) -> tuple[list[News], int]:
+    def updates_since(self, told: int, peer: object) -> tuple[list[QuarantineUpdate], int]:
         """Return what changed after a version, the oldest first, and up to which version that is.
 
         Parameters
@@ -216,7 +218,7 @@
         peer
             It needs no news that came from itself.
         """
-        found: list[News] = []
+        found: list[QuarantineUpdate] = []
         size = 0
         for key, change in self._changes_after(told):
             item = self._item(key)
@@ -235,20 +237,20 @@
         later.reverse()
         return later
 
-    def take(self, news: Iterable[News], source: object, now: Seconds) -> None:
+    def take(self, news: Iterable[QuarantineUpdate], source: object, now: Seconds) -> None:
         """Take in what another node has told, or the store."""
         for item in news:
             match item:
-                case CrashNews():
+                case CrashUpdate():
                     self._take_crash(item, source, now)
-                case ServedNews():
+                case ServedUpdate():
                     self._take_served(item, source)
                 case Quarantine():
                     self._take_quarantine(item, source)
 
     # ------------------------------------------------------------------ inside
 
-    def _take_crash(self, item: CrashNews, source: object, now: Seconds) -> None:
+    def _take_crash(self, item: CrashUpdate, source: object, now: Seconds) -> None:
         own = {
             request
             for request, at in self._losses.pop(item.backend_id, {}).items()
@@ -268,17 +270,17 @@
         self._unjudged = True
         self._judge_trials(number, now)
 
-    def _lost_in(self, number: int | None) -> frozenset[RequestSigns]:
+    def _lost_in(self, number: int | None) -> frozenset[RequestFingerprints]:
         crash = None if number is None else self._evidence.crash(number)
         return frozenset() if crash is None else frozenset(crash.lost)
 
-    def _take_served(self, item: ServedNews, source: object) -> None:
+    def _take_served(self, item: ServedUpdate, source: object) -> None:
         found = self._quarantines.get(item.request)
         released = found is not None and item.at > found.began
         if released:
             self._drop(item.request)
             self.events.append(QuarantineEnded(item.request))
-        cleared = self._evidence.note_served(item.request, item.at)
+        cleared = self._evidence.record_served(item.request, item.at)
         if cleared or released:
             self._note_change((Kind.SERVED, item.request), source)
 
@@ -307,7 +309,7 @@
         self._drop(item.request)
         self._quarantines[item.request] = item
         self._note_change((Kind.QUARANTINE, item.request), source)
-        self.events.append(QuarantineBegan(item, told=source is not None))
+        self.events.append(QuarantineBegan(item, from_peer=source is not None))
         while len(self._quarantines) > MOST_QUARANTINED:
             self._drop(next(iter(self._quarantines)))
 
@@ -320,28 +322,28 @@
         self._changes.pop(key, None)
         self._changes[key] = _Change(self.version, source)
 
-    def _item(self, key: _Subject) -> News | None:
+    def _item(self, key: _Subject) -> QuarantineUpdate | None:
         match key:
             case (Kind.CRASH, number):
                 crash = self._evidence.crash(number)
                 if crash is None:
                     return None
-                return CrashNews(crash.backend_id, crash.at, frozenset(crash.lost))
+                return CrashUpdate(crash.backend_id, crash.at, frozenset(crash.lost))
             case (Kind.SERVED, sign):
                 at = self._evidence.served_at(sign)
-                return ServedNews(sign, at) if at > NEVER else None
+                return ServedUpdate(sign, at) if at > NEVER else None
             case (Kind.QUARANTINE, sign):
                 return self._quarantines.get(sign)
         return None
 
     def _spread(self, request: int) -> float:
-        return spread_of(f"{self._node_id}{shown(request)}".encode())
+        return hash_fraction(f"{self._node_id}{format_fingerprint(request)}".encode())
 
 
-def _size(item: News) -> int:
+def _size(item: QuarantineUpdate) -> int:
     """How many signs an item names; a crash that names none counts too."""
-    return 1 + SIGNS * len(item.requests) if isinstance(item, CrashNews) else 1
+    return 1 + SIGNS * len(item.requests) if isinstance(item, CrashUpdate) else 1
 
 
 def _span(level: int) -> Seconds:
-    return min(FIRST_SPAN * 2.0 ** min(level, 10), LONGEST_SPAN)
+    return min(BASE_QUARANTINE_TIME * 2.0 ** min(level, 10), LONGEST_SPAN)
--- a/src/limedeck/forwarding/quarantine_news.py
+++ b/src/limedeck/forwarding/quarantine_updates.py
@@ -4,21 +4,21 @@
 
 from dataclasses import dataclass
 
-from limedeck.forwarding.content import RequestSigns
+from limedeck.forwarding.request_content import RequestFingerprints
 from limedeck.identity import Seconds
 
 
 @dataclass(frozen=True, slots=True)
-class CrashNews:
+class CrashUpdate:
     """A back end has ended with these requests under way, on the clock of whoever holds this."""
 
     backend_id: str
     at: Seconds
-    requests: frozenset[RequestSigns]
+    requests: frozenset[RequestFingerprints]
 
 
 @dataclass(frozen=True, slots=True)
-class ServedNews:
+class ServedUpdate:
     """A request with this sign, which is a suspect's, was served."""
 
     request: int
@@ -45,7 +45,7 @@
     ends: Seconds
 
 
-News = CrashNews | ServedNews | Quarantine
+QuarantineUpdate = CrashUpdate | ServedUpdate | Quarantine
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     """Event for logs: a request is refused from now on."""
 
     quarantine: Quarantine
-    told: bool
+    from_peer: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/limedeck/forwarding/refusals.py
+++ b/src/limedeck/forwarding/refusals.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from limedeck.forwarding.admission import Claim
-from limedeck.forwarding.availability import Cause, Unavailable
-from limedeck.forwarding.commands import Reason, Refuse
-from limedeck.forwarding.spread import spread_of
+from limedeck.forwarding.availability import Unavailable, UnavailableCause
+from limedeck.forwarding.commands import RefusalReason, Refuse
+from limedeck.forwarding.hashing import hash_fraction
 from limedeck.identity import Seconds
 
 NO_OWNER_RETRY_AFTER: Seconds = 0.25
@@ -29,10 +29,10 @@
 RETURN_SPREAD: Seconds = 0.3
 """Interval over which retries are spread, so that the next owner can work off the backlog."""
 _OWNER_REASONS = {
-    Cause.LEAVING: Reason.LEAVING,
-    Cause.EVACUATED: Reason.EVACUATED,
-    Cause.BACKING_OFF: Reason.BACKING_OFF,
-    Cause.COLD: Reason.COLD,
+    UnavailableCause.LEAVING: RefusalReason.LEAVING,
+    UnavailableCause.EVACUATED: RefusalReason.EVACUATED,
+    UnavailableCause.BACKING_OFF: RefusalReason.BACKING_OFF,
+    UnavailableCause.COLD: RefusalReason.COLD,
 }
 
 
@@ -50,9 +50,9 @@
             if unavailable.remaining is None
             else unavailable.remaining
         )
-    elif unavailable.cause is Cause.BACKING_OFF:
+    elif unavailable.cause is UnavailableCause.BACKING_OFF:
         delay = min(unavailable.remaining or 0.0, BACKOFF_MOVE_TIME)
-    elif unavailable.cause is Cause.COLD:
+    elif unavailable.cause is UnavailableCause.COLD:
         delay = min(unavailable.remaining or 0.0, LONGEST_MOVE_WAIT)
     else:
         delay = NO_OWNER_RETRY_AFTER
@@ -61,7 +61,7 @@
 
 def no_owner(claim: Claim) -> Refuse:
     """Refuse a request whose key cannot be assigned an owner until the store confirms a leader."""
-    return claim.refuse(Reason.NO_OWNER, STORE_UNAVAILABLE_RETRY_AFTER + _spread(claim))
+    return claim.refuse(RefusalReason.NO_OWNER, STORE_UNAVAILABLE_RETRY_AFTER + _spread(claim))
 
 
 def service_unavailable(claim: Claim, unavailable: Unavailable | None) -> Refuse:
@@ -72,15 +72,17 @@
     unavailable
         The cause that ends first; None if the service has no back end.
     """
-    if unavailable is not None and unavailable.cause is Cause.BACKING_OFF:
+    if unavailable is not None and unavailable.cause is UnavailableCause.BACKING_OFF:
         # Retries are spread by priority, the most urgent first.
         rank = 1 + max(claim.route.priority, 0)
         delay = (unavailable.remaining or 0.0) + rank * _spread(claim)
-        return claim.refuse(Reason.BACKING_OFF, delay, unavailable)
-    if unavailable is not None and unavailable.cause is Cause.LEAVING:
-        return claim.refuse(Reason.LEAVING, NO_BACKEND_RETRY_AFTER + _spread(claim), unavailable)
-    return claim.refuse(Reason.NO_BACKEND, NO_OWNER_RETRY_AFTER)
+        return claim.refuse(RefusalReason.BACKING_OFF, delay, unavailable)
+    if unavailable is not None and unavailable.cause is UnavailableCause.LEAVING:
+        return claim.refuse(
+            RefusalReason.LEAVING, NO_BACKEND_RETRY_AFTER + _spread(claim), unavailable
+        )
+    return claim.refuse(RefusalReason.NO_BACKEND, NO_OWNER_RETRY_AFTER)
 
 
 def _spread(claim: Claim) -> Seconds:
-    return RETURN_SPREAD * spread_of(claim.request_id)
+    return RETURN_SPREAD * hash_fraction(claim.request_id)
--- a/src/limedeck/forwarding/request.py
+++ b/src/limedeck/forwarding/request.py
@@ -7,16 +7,23 @@
 
 from limedeck.errors import InvariantViolation
 from limedeck.forwarding import availability, refusals
-from limedeck.forwarding.admission import RETRY_AFTER, RETRY_PAUSE, Claim
+from limedeck.forwarding.admission import RETRY_AFTER, RETRY_DELAY, Claim
 from limedeck.forwarding.backend_state import BackendState
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.budget import RetryBudget
-from limedeck.forwarding.commands import AskPermit, Attempt, Command, Reason, Refuse, Wait
+from limedeck.forwarding.commands import (
+    Attempt,
+    Command,
+    RefusalReason,
+    Refuse,
+    RequestPermit,
+    Wait,
+)
+from limedeck.forwarding.hashing import hash_fraction
 from limedeck.forwarding.owners import OwnerMap
-from limedeck.forwarding.permits import PermitAnswer
+from limedeck.forwarding.permits import PermitResponse
 from limedeck.forwarding.request_guard import RequestGuard
 from limedeck.forwarding.request_permits import RequestPermits
-from limedeck.forwarding.spread import spread_of
 from limedeck.identity import Seconds
 from limedeck.model import Route
 from limedeck.routing.outcomes import (
@@ -29,7 +36,7 @@
     decide,
 )
 
-SHORTEST_ATTEMPT: Seconds = 0.005
+MIN_ATTEMPT_TIME: Seconds = 0.005
 """An attempt is not begun with less time than this left."""
 MAX_BACKOFF_REJECTIONS = 3
 """A request that this many back ends reject with a back-off is refused, so that it does not spend
@@ -65,7 +72,7 @@
     key_counts: Counter[int] = field(default_factory=Counter)
     longest_waits: dict[str, Seconds] = field(default_factory=dict)
 
-    def note_wait(self, route: str, wait: Seconds) -> bool:
+    def record_wait(self, route: str, wait: Seconds) -> bool:
         """A caller will wait so long; tell whether it was here before with the same request."""
         longest = max(self.longest_waits.get(route, 0.0), wait)
         self.longest_waits[route] = longest
@@ -81,7 +88,7 @@
         Of the request's key; None if it has none.
     deadline
         When the caller stops waiting, on this node's clock.
-    returned
+    is_client_retry
         The caller was here before with the same request and has come back.
     guard
         Tells whether the request is known to end back ends.
@@ -96,11 +103,11 @@
         position: int | None,
         deadline: Seconds,
         now: Seconds,
-        returned: bool = False,
+        is_client_retry: bool = False,
         guard: RequestGuard | None = None,
     ) -> None:
         until = min(deadline, now + route.timeout)
-        self.claim = Claim(request_id, route, service.keyed, now, until, returned)
+        self.claim = Claim(request_id, route, service.keyed, now, until, is_client_retry)
         self.guard = guard
         self.request_id = request_id
         self.route = route
@@ -117,41 +124,41 @@
         self._not_before: Seconds = now
         self._in_flight: Attempt | None = None
 
-    def next_command(self, now: Seconds, sharers: int) -> Command:
+    def next_command(self, now: Seconds, sharing_nodes: int) -> Command:
         """Decide what to do: at the start, after a `Wait`, and after a failure."""
-        if now + SHORTEST_ATTEMPT >= self.claim.until:
-            return self._refuse(Reason.TIMED_OUT, RETRY_AFTER)
+        if now + MIN_ATTEMPT_TIME >= self.claim.until:
+            return self._refuse(RefusalReason.TIMED_OUT, RETRY_AFTER)
         stopped = self._stopped_by_guard(self.guard, now) if self.guard else None
         if stopped is not None:
             return stopped
         if not self.service.keyed:
-            return self._try_any(now, sharers)
+            return self._try_any(now, sharing_nodes)
         if self.position is None:
-            return self._refuse(Reason.BAD_KEY, RETRY_AFTER)
-        return self._try_owner(self.position, now, sharers)
+            return self._refuse(RefusalReason.BAD_KEY, RETRY_AFTER)
+        return self._try_owner(self.position, now, sharing_nodes)
 
     def _stopped_by_guard(self, guard: RequestGuard, now: Seconds) -> Command | None:
         """Refuse what ends back ends; let what may do so wait for the judgement."""
         refused_for = guard.refused_for(now)
         if refused_for is not None:
-            return self._refuse(Reason.QUARANTINED, refused_for)
-        held_until = guard.held_until(now)
-        return None if held_until is None else Wait(min(held_until, self.claim.until))
+            return self._refuse(RefusalReason.QUARANTINED, refused_for)
+        blocked_until = guard.blocked_until(now)
+        return None if blocked_until is None else Wait(min(blocked_until, self.claim.until))
 
     def handle_permit(
-        self, asked: AskPermit, answer: PermitAnswer, now: Seconds, sharers: int
+        self, asked: RequestPermit, answer: PermitResponse, now: Seconds, sharing_nodes: int
     ) -> Command:
-        """Decide what follows the answer to an `AskPermit`."""
+        """Decide what follows the answer to a `RequestPermit`."""
         self._permits.take(asked, answer, now)
-        return self.next_command(now, sharers)
+        return self.next_command(now, sharing_nodes)
 
     def give_up(self) -> Refuse:
         """Refuse it now, whatever is under way: this process is about to end."""
-        self.claim.maybe_run = self.claim.maybe_run or self._in_flight is not None
-        return self._refuse(Reason.STOPPED, RETRY_AFTER)
+        self.claim.may_have_run = self.claim.may_have_run or self._in_flight is not None
+        return self._refuse(RefusalReason.STOPPED, RETRY_AFTER)
 
     def handle_failure(
-        self, phase: FailurePhase, now: Seconds, sharers: int, wrong_owner: bool = False
+        self, phase: FailurePhase, now: Seconds, sharing_nodes: int, wrong_owner: bool = False
     ) -> Command:
         """Decide what follows a failed attempt.
 
@@ -167,12 +174,12 @@
         self._reached = self._reached or phase not in UNREACHED
         history = AttemptHistory(
             repeatable=self.route.repeatable,
-            maybe_run=self.claim.maybe_run,
-            time_left=now + SHORTEST_ATTEMPT < self.claim.until,
+            may_have_run=self.claim.may_have_run,
+            time_left=now + MIN_ATTEMPT_TIME < self.claim.until,
             budget_left=self.attempts < self.route.max_attempts,
         )
         decision = decide(phase, history)
-        self.claim.maybe_run = self.claim.maybe_run or phase not in SURELY_NOT_RUN
+        self.claim.may_have_run = self.claim.may_have_run or phase not in SURELY_NOT_RUN
         backing_off = self._directory.availability.check_backoff(attempt.state, now)
         if decision is not Decision.RETRY:
             if backing_off is not None and self.service.keyed and not wrong_owner:
@@ -185,15 +192,15 @@
         if backing_off is not None and phase in FULL and not wrong_owner:
             self._backoff_rejections += 1
         elif phase in FULL and not wrong_owner:
-            attempt.state.note_full(now)
+            attempt.state.record_queue_full(now)
             refusal = self.claim.early_refusal(attempt.state, now) if self.service.keyed else None
             if refusal is not None:
                 return refusal
         self._stale_version = self.service.owners.version
-        self._not_before = now + (refusals.LONGEST_MOVE_WAIT if wrong_owner else RETRY_PAUSE)
-        return self.next_command(now, sharers)
+        self._not_before = now + (refusals.LONGEST_MOVE_WAIT if wrong_owner else RETRY_DELAY)
+        return self.next_command(now, sharing_nodes)
 
-    def _try_owner(self, position: int, now: Seconds, sharers: int) -> Command:
+    def _try_owner(self, position: int, now: Seconds, sharing_nodes: int) -> Command:
         owners = self.service.owners
         owner = owners.owner(position)
         state = self._directory.find(owner) if owner else None
@@ -203,7 +210,7 @@
             return self._refuse_for_owner(unavailable, now)
         if state is None or stale:
             return self._refusal_by_lost_owner(position, now) or self._wait_for_owner(state, now)
-        return self._attempt_in_time(state, now, sharers)
+        return self._attempt_in_time(state, now, sharing_nodes)
 
     def _refuse_for_owner(self, unavailable: availability.Unavailable, now: Seconds) -> Refuse:
         can_move = self._directory.can_assign_owners(now)
@@ -217,9 +224,9 @@
         free_at = self.service.owners.free_at(position)
         if free_at is None or free_at - now <= refusals.LONGEST_MOVE_WAIT:
             return None
-        spread = refusals.RETURN_SPREAD * spread_of(self.request_id)
+        spread = refusals.RETURN_SPREAD * hash_fraction(self.request_id)
         retry_after = free_at - now + RETURN_DELAY + spread
-        return self._refuse(Reason.NO_OWNER, min(retry_after, LONGEST_OWNER_RETRY_AFTER))
+        return self._refuse(RefusalReason.NO_OWNER, min(retry_after, LONGEST_OWNER_RETRY_AFTER))
 
     def _wait_for_owner(self, state: BackendState | None, now: Seconds) -> Command:
         if state is None and not self._directory.can_assign_owners(now):
@@ -228,40 +235,40 @@
             self._waiting_since = now
         wait_end = min(self._waiting_since + refusals.LONGEST_MOVE_WAIT, self.claim.until)
         if now >= wait_end:
-            return self._refuse(Reason.NO_OWNER, refusals.NO_OWNER_RETRY_AFTER)
-        return Wait(min(max(self._not_before, now + RETRY_PAUSE), wait_end))
+            return self._refuse(RefusalReason.NO_OWNER, refusals.NO_OWNER_RETRY_AFTER)
+        return Wait(min(max(self._not_before, now + RETRY_DELAY), wait_end))
 
-    def _try_any(self, now: Seconds, sharers: int) -> Command:
+    def _try_any(self, now: Seconds, sharing_nodes: int) -> Command:
         service = self.service.name
         state = self._permits.held_for(now)
         if state is None:
             excluded = self._excluded | self._permits.closed(service, now)
             state = self._directory.choose(service, excluded, self.request_id, now)
         if state is not None and self._backoff_rejections < MAX_BACKOFF_REJECTIONS:
-            return self._attempt_in_time(state, now, sharers)
+            return self._attempt_in_time(state, now, sharing_nodes)
         soonest = self._directory.soonest_available_of(service, now)
-        if soonest is not None and soonest.cause is availability.Cause.BACKING_OFF:
+        if soonest is not None and soonest.cause is availability.UnavailableCause.BACKING_OFF:
             return refusals.service_unavailable(self.claim, soonest)
         if self._excluded:
-            return self._refuse(Reason.REFUSED, RETRY_AFTER)
+            return self._refuse(RefusalReason.REFUSED, RETRY_AFTER)
         refusal = self._permits.refusal_by_all(service, now)
         return refusal or refusals.service_unavailable(self.claim, soonest)
 
-    def _attempt_in_time(self, state: BackendState, now: Seconds, sharers: int) -> Command:
+    def _attempt_in_time(self, state: BackendState, now: Seconds, sharing_nodes: int) -> Command:
         """Send it, if it is worth that and the back end has room for it."""
         hindrance = self.claim.refusal(state, now) or self._permits.obtain(state, now)
-        return hindrance or self._attempt(state, now, sharers)
+        return hindrance or self._attempt(state, now, sharing_nodes)
 
-    def _attempt(self, state: BackendState, now: Seconds, sharers: int) -> Command:
-        if self.claim.maybe_run and not self.route.repeatable:
+    def _attempt(self, state: BackendState, now: Seconds, sharing_nodes: int) -> Command:
+        if self.claim.may_have_run and not self.route.repeatable:
             raise InvariantViolation("runs-at-most-once", self.request_id.decode("latin-1"))
         # The budget bounds what back ends get more than callers send. An attempt that reached none
         # is no part of that: with one back end after the other ending, closed ports used up the
         # retries of requests that other back ends would have served.
-        if self._reached and not self.service.budget.try_take(now, sharers):
-            return self._refuse(Reason.REFUSED, RETRY_AFTER)
+        if self._reached and not self.service.budget.try_acquire(now, sharing_nodes):
+            return self._refuse(RefusalReason.REFUSED, RETRY_AFTER)
         if self.guard is not None:
-            self.guard.note_sent(now)
+            self.guard.record_sent(now)
         self.attempts += 1
         self._permits.note_used()
         self._waiting_since = None
@@ -269,29 +276,29 @@
         return self._in_flight
 
     def _retry_after(
-        self, reason: Reason, state: BackendState, now: Seconds, wrong_owner: bool
+        self, reason: RefusalReason, state: BackendState, now: Seconds, wrong_owner: bool
     ) -> Seconds:
         """When to come back after a failed attempt; a key has only this one owner."""
         if not self.service.keyed:
             return RETRY_AFTER
         if wrong_owner:
             return refusals.NO_OWNER_RETRY_AFTER
-        if reason is Reason.UNREACHABLE:
+        if reason is RefusalReason.UNREACHABLE:
             return refusals.LOST_OWNER_RETRY_AFTER
-        if reason is Reason.REFUSED:
-            state.note_full(now)
+        if reason is RefusalReason.REFUSED:
+            state.record_queue_full(now)
             return self.claim.time_until_room(state, now)
         return RETRY_AFTER
 
-    def _refuse(self, reason: Reason, retry_after: Seconds) -> Refuse:
+    def _refuse(self, reason: RefusalReason, retry_after: Seconds) -> Refuse:
         return self.claim.refuse(reason, retry_after)
 
 
-def _reason_for(phase: FailurePhase, time_left: bool) -> Reason:
+def _reason_for(phase: FailurePhase, time_left: bool) -> RefusalReason:
     if not time_left:
-        return Reason.TIMED_OUT
+        return RefusalReason.TIMED_OUT
     if phase in FULL:
-        return Reason.REFUSED
+        return RefusalReason.REFUSED
     if phase in SURELY_NOT_RUN:
-        return Reason.UNREACHABLE
-    return Reason.ANSWER_LOST
+        return RefusalReason.UNREACHABLE
+    return RefusalReason.RESPONSE_LOST
--- a/src/limedeck/forwarding/content.py
+++ b/src/limedeck/forwarding/request_content.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class RequestSigns:
+class RequestFingerprints:
     """Fingerprints of one request: numbers of 64 bits that requests which differ do not share.
 
     Parameters
@@ -34,14 +34,14 @@
     caller: int
 
     @property
-    def narrowest_first(self) -> tuple[int, int, int]:
+    def from_narrowest(self) -> tuple[int, int, int]:
         """All signs; fewer requests share the earlier ones."""
         return (self.caller, self.content, self.target)
 
     def wider_than(self, sign: int) -> tuple[int, ...]:
         """Signs that more requests share than this one of the request's."""
-        signs = self.narrowest_first
-        return signs[signs.index(sign) + 1 :]
+        fingerprints = self.from_narrowest
+        return fingerprints[fingerprints.index(sign) + 1 :]
 
 
 @dataclass(slots=True)
@@ -64,10 +64,10 @@
     caller: str
     body: bytes
     position: int | None = None
-    _signs: RequestSigns | None = field(default=None, repr=False, compare=False)
+    _signs: RequestFingerprints | None = field(default=None, repr=False, compare=False)
 
     @property
-    def signs(self) -> RequestSigns:
+    def fingerprints(self) -> RequestFingerprints:
         """What it is known by.
 
         Worked out when it is first asked for: most requests never need them.
@@ -79,9 +79,9 @@
     @property
     def fingerprint(self) -> int:
         """The sign that only the same request of the same caller has."""
-        return self.signs.caller
+        return self.fingerprints.caller
 
-    def _hashed(self) -> RequestSigns:
+    def _hashed(self) -> RequestFingerprints:
         digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
         key = b"" if self.position is None else b"%d" % self.position
         _add(digest, self.method, self.host.encode(), self.target)
@@ -89,7 +89,7 @@
         _add(digest, key, self.body)
         content = _number(digest)
         _add(digest, self.caller.encode())
-        return RequestSigns(target, content, _number(digest))
+        return RequestFingerprints(target, content, _number(digest))
 
 
 def _add(digest: hashlib.blake2b, *parts: bytes) -> None:
@@ -103,6 +103,6 @@
     return int.from_bytes(digest.digest(), "big")
 
 
-def shown(fingerprint: int) -> str:
+def format_fingerprint(fingerprint: int) -> str:
     """Write a fingerprint as log lines do."""
     return f"{fingerprint:0{2 * FINGERPRINT_BYTES}x}"
--- a/src/limedeck/forwarding/request_guard.py
+++ b/src/limedeck/forwarding/request_guard.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from limedeck.forwarding.content import RequestContent
 from limedeck.forwarding.quarantine import QuarantineLedger
+from limedeck.forwarding.request_content import RequestContent
 from limedeck.identity import Seconds
 
 
@@ -21,25 +21,25 @@
         spans = (self._ledger.refused_for(sign, now) for sign in self._signs)
         return max((span for span in spans if span is not None), default=None)
 
-    def held_until(self, now: Seconds) -> Seconds | None:
+    def blocked_until(self, now: Seconds) -> Seconds | None:
         """Until when the request waits for the judgement on it; None if it need not wait."""
         if not self._ledger.suspects_any:
             return None
-        times = (self._ledger.held_until(sign, now) for sign in self._signs)
+        times = (self._ledger.blocked_until(sign, now) for sign in self._signs)
         return max((time for time in times if time is not None), default=None)
 
-    def note_sent(self, now: Seconds) -> None:
+    def record_sent(self, now: Seconds) -> None:
         """It is sent to a back end."""
         if self._ledger.refuses_any:
             for sign in self._signs:
-                self._ledger.note_sent(sign, now)
+                self._ledger.record_sent(sign, now)
 
-    def note_served(self, now: Seconds) -> None:
+    def record_served(self, now: Seconds) -> None:
         """A back end has answered it."""
         if self._ledger.suspects_any:
             for sign in self._signs:
-                self._ledger.note_served(sign, now)
+                self._ledger.record_served(sign, now)
 
     @property
     def _signs(self) -> tuple[int, ...]:
-        return self._content.signs.narrowest_first
+        return self._content.fingerprints.from_narrowest
--- a/src/limedeck/forwarding/statements.py
+++ b/src/limedeck/forwarding/statements.py
@@ -22,11 +22,11 @@
     """A single statement of one back end, with times on the local clock."""
 
     @property
-    def asked_at(self) -> Seconds:
+    def requested_at(self) -> Seconds:
         """When the request was sent whose answer made the statement."""
 
     @property
-    def heard_at(self) -> Seconds:
+    def received_at(self) -> Seconds:
         """When the answer arrived."""
 
     @property
@@ -51,18 +51,18 @@
     ----------
     former
         The previous statement; None if there was none.
-    told
+    from_peer
         True if another node sent the statement, False if it came from an answer to this node.
     """
 
     backend_id: str
     former: S | None
     statement: S
-    told: bool
+    from_peer: bool
 
 
 @dataclass(frozen=True, slots=True)
-class StatementNews(Generic[S]):
+class StatementUpdate(Generic[S]):
     """A changed statement, as sent to another node."""
 
     backend_id: str
@@ -150,11 +150,11 @@
     def drop_unlisted(self, listed: Container[str], now: Seconds) -> None:
         """Drop statements of unlisted back ends that are older than the retention."""
         for backend_id, known in list(self._known.items()):
-            is_old = known.statement.heard_at < now - self._unlisted_life
+            is_old = known.statement.received_at < now - self._unlisted_life
             if is_old and backend_id not in listed:
                 del self._known[backend_id]
 
-    def news_since(self, told: int, peer: object) -> tuple[list[StatementNews[S]], int]:
+    def updates_since(self, told: int, peer: object) -> tuple[list[StatementUpdate[S]], int]:
         """Return the changes after version `told`, and the current version.
 
         Parameters
@@ -165,7 +165,7 @@
         if told == self._version:
             return [], told
         news = [
-            StatementNews(backend_id, known.statement)
+            StatementUpdate(backend_id, known.statement)
             for backend_id, known in self._known.items()
             if known.version > told and known.source is not peer
         ]
--- a/src/limedeck/http_client.py
+++ b/src/limedeck/http_client.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -93,7 +93,7 @@
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        self._reader = http_codec.AnswerReader()
+        self._reader = http_codec.ResponseParser()
         self.idle_until: Seconds = 0.0
         self._body_sent = False
         self._descriptor = stream.extra(SocketAttribute.raw_socket).fileno()
@@ -104,18 +104,18 @@
         """Whether nothing came since the last answer: neither its end nor surplus bytes."""
         return not self._poll.poll(0)
 
-    async def exchange(self, request: HttpRequest) -> HttpAnswer:
+    async def exchange(self, request: HttpRequest) -> HttpResponse:
         """Send a request and read the whole answer."""
         head = self._encoded(request)
-        self._reader = http_codec.AnswerReader(request.method == b"HEAD")
+        self._reader = http_codec.ResponseParser(request.method == b"HEAD")
         if len(request.body) <= SMALL_BODY:
             await self._send(head + request.body)
             return await self._receive()
         await self._send(head)
         return await self._receive_while_sending(request.body)
 
-    async def _receive_while_sending(self, body: bytes) -> HttpAnswer:
-        answer: HttpAnswer | AttemptFailed
+    async def _receive_while_sending(self, body: bytes) -> HttpResponse:
+        answer: HttpResponse | AttemptFailed
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_quietly, body)
             try:
@@ -149,7 +149,7 @@
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
 
-    async def _receive(self) -> HttpAnswer:
+    async def _receive(self) -> HttpResponse:
         reader = self._reader
         while not reader.is_whole:
             phase = FailurePhase.ANSWERING if reader.has_head else FailurePhase.AWAITING
@@ -157,20 +157,20 @@
                 reader.feed(await self.stream.receive(READ_BYTES))
             except anyio.EndOfStream:
                 self._take_end(reader, phase)
-            except http_codec.BadAnswer as error:
+            except http_codec.BadResponse as error:
                 phase = FailurePhase.ANSWERING if reader.has_head else FailurePhase.AWAITING
                 raise AttemptFailed(phase, str(error), by_other_end=True) from error
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
                 raise AttemptFailed(phase, _problem(error), by_other_end=True) from error
-        return HttpAnswer(reader.status, reader.headers, reader.body)
+        return HttpResponse(reader.status, reader.headers, reader.body)
 
-    def _take_end(self, reader: http_codec.AnswerReader, phase: FailurePhase) -> None:
+    def _take_end(self, reader: http_codec.ResponseParser, phase: FailurePhase) -> None:
         try:
             reader.feed_end()
-        except http_codec.BadAnswer as error:
+        except http_codec.BadResponse as error:
             raise AttemptFailed(phase, str(error), by_other_end=True) from error
 
-    def can_be_reused(self, answer: HttpAnswer, sent_whole: bool, now: Seconds) -> bool:
+    def can_be_reused(self, answer: HttpResponse, sent_whole: bool, now: Seconds) -> bool:
         """Prepare for the next request; False when the connection must not be used again."""
         if not sent_whole or not self._reader.may_go_on:
             return False
@@ -223,7 +223,7 @@
         self._under_way: dict[anyio.CancelScope, Seconds] = {}
         self.connections_opened = 0
 
-    async def exchange(self, request: HttpRequest, until: Seconds) -> HttpAnswer:
+    async def exchange(self, request: HttpRequest, until: Seconds) -> HttpResponse:
         """Send a request and wait for the whole answer.
 
         Raises
@@ -267,7 +267,7 @@
             finally:
                 del self._under_way[scope]
 
-    def end_overdue(self, now: Seconds) -> None:
+    def abort_expired(self, now: Seconds) -> None:
         """Give up exchanges whose time is over, although their timers have not ended.
 
         Timers do not count the time that the machine was suspended.
--- a/src/limedeck/http_codec.py
+++ b/src/limedeck/http_codec.py
@@ -14,7 +14,7 @@
 
 from limedeck.forwarding.protocol import Headers
 
-LARGEST_HEAD = 65_536
+MAX_HEAD_SIZE = 65_536
 LARGEST_ANSWER = 64 << 20
 NO_CONTENT = frozenset({204, 304})
 FIRST_FINAL_STATUS = 200
@@ -30,7 +30,7 @@
     """A request that cannot be written as such."""
 
 
-class BadAnswer(Exception):
+class BadResponse(Exception):
     """Bytes that are no answer, or an answer that ended early."""
 
 
@@ -65,7 +65,7 @@
     return b"".join(lines)
 
 
-class AnswerReader:
+class ResponseParser:
     """Reads one answer; its methods named `on_...` are called by the parser.
 
     Parameters
@@ -120,12 +120,12 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             # After a whole answer the bytes belong to none; the answer stands.
             if not self.is_whole:
-                raise BadAnswer(type(exc).__name__) from exc
+                raise BadResponse(type(exc).__name__) from exc
             self._has_surplus = True
-        if not self.has_head and self._head_size > LARGEST_HEAD:
-            raise BadAnswer("head too large")
+        if not self.has_head and self._head_size > MAX_HEAD_SIZE:
+            raise BadResponse("head too large")
         if self._size > LARGEST_ANSWER:
-            raise BadAnswer("answer too large")
+            raise BadResponse("answer too large")
 
     def feed_end(self) -> None:
         """The connection has ended in order: so does an answer without a length.
@@ -138,7 +138,7 @@
         if self.has_head and not self.is_whole and self._ends_with_connection():
             self.is_whole = True
         if not self.is_whole:
-            raise BadAnswer("connection ended")
+            raise BadResponse("connection ended")
 
     def _ends_with_connection(self) -> bool:
         names = {name for name, _ in self.headers}
@@ -162,7 +162,7 @@
             return
         self.status = self._parser.get_status_code()
         if self.status == SWITCHING:
-            raise BadAnswer("another protocol")
+            raise BadResponse("another protocol")
         self._is_interim = self.status < FIRST_FINAL_STATUS
         if self._is_interim:
             self.headers = []
--- a/src/limedeck/identity.py
+++ b/src/limedeck/identity.py
@@ -20,28 +20,28 @@
 NEVER: Seconds = float("-inf")
 """When something happened that has not happened."""
 
-LIFE_MARK = "@"
+INCARNATION_SEPARATOR = "@"
 """Between the name of a back end and the start of one of its lives, in an id."""
 
 
-def life_id(name: str, born: int | None) -> str:
+def incarnation_id(name: str, born: int | None) -> str:
     """Return the id of one life of a back end; without a start, a name stands for one life."""
-    return name if born is None else f"{name}{LIFE_MARK}{born}"
+    return name if born is None else f"{name}{INCARNATION_SEPARATOR}{born}"
 
 
-def is_later_life(backend_id: str, than: str) -> bool:
+def is_later_incarnation(backend_id: str, than: str) -> bool:
     """Whether both ids are lives of one back end, and the first one began later.
 
     A life that tells no start is taken for an earlier one than those that do.
     """
-    name, born = name_and_start(backend_id)
-    other_name, other_born = name_and_start(than)
+    name, born = split_incarnation_id(backend_id)
+    other_name, other_born = split_incarnation_id(than)
     return name == other_name and born > other_born
 
 
-def name_and_start(backend_id: str) -> tuple[str, float]:
+def split_incarnation_id(backend_id: str) -> tuple[str, float]:
     """Return which back end it is, and when this life of it began; `NEVER` if that is not told."""
-    name, mark, start = backend_id.rpartition(LIFE_MARK)
+    name, mark, start = backend_id.rpartition(INCARNATION_SEPARATOR)
     try:
         return (name, int(start)) if mark else (backend_id, NEVER)
     except ValueError:
--- a/src/limedeck/measures.py
+++ b/src/limedeck/measures.py
@@ -22,7 +22,7 @@
 """Half-open range of key positions."""
 
 
-def highest_over_mean(values: Iterable[float]) -> float:
+def max_over_mean(values: Iterable[float]) -> float:
     """Highest of the values over their mean; 1.0 when there is nothing to compare."""
     listed = list(values)
     total = sum(listed)
@@ -31,7 +31,7 @@
     return max(listed) * len(listed) / total
 
 
-def line_shares(slices: SliceMap, backends: Iterable[str]) -> dict[str, float]:
+def keyspace_shares(slices: SliceMap, backends: Iterable[str]) -> dict[str, float]:
     """Share of the key line that each back end owns."""
     shares = dict.fromkeys(backends, 0.0)
     for item in slices:
@@ -185,4 +185,4 @@
 
 def load_imbalance(loads: Mapping[str, float]) -> float:
     """Imbalance of measured loads, by back end."""
-    return highest_over_mean(loads.values())
+    return max_over_mean(loads.values())
--- a/src/limedeck/node/backend_loads.py
+++ b/src/limedeck/node/backend_loads.py
@@ -30,7 +30,7 @@
 
 
 @functools.lru_cache(maxsize=MARKS_KEPT)
-def mark_of(backend_id: str) -> int:
+def backend_hash(backend_id: str) -> int:
     """Return the hash by which messages name a back end."""
     return xxhash.xxh32_intdigest(backend_id.encode())
 
@@ -38,7 +38,7 @@
 def known_service_times(directory: backends.BackendDirectory) -> dict[int, Seconds]:
     """Return the service times that this node believes, by hash of the back end's id."""
     return {
-        mark_of(state.backend.backend_id): state.service_time
+        backend_hash(state.backend.backend_id): state.service_time
         for state in directory.all_states()
         if state.service_time is not None
     }
@@ -55,7 +55,7 @@
         if sample is None and backoff is None:
             continue
         sample = sample or backend_state.WorkSample(backend_id, 0, 0, 0.0)
-        message.backends.append(mark_of(sample.backend_id))
+        message.backends.append(backend_hash(sample.backend_id))
         message.outstanding.append(sample.outstanding)
         message.answers.append(sample.answers)
         message.service_times.append(int(sample.service_time * MICROSECONDS))
@@ -171,15 +171,15 @@
         ]
 
 
-def take_totals(
+def apply_totals(
     totals: Iterable[fleet_load.BackendTotal], directory: backends.BackendDirectory, now: Seconds
 ) -> None:
     """Let a node believe what the leader tells; back ends that it does not list are passed over."""
-    marks = {mark_of(state.backend.backend_id): state for state in directory.all_states()}
+    marks = {backend_hash(state.backend.backend_id): state for state in directory.all_states()}
     for total in totals:
         state = marks.get(total.backend)
         if state is not None:
-            state.note_fleet(total.outstanding, total.service_time, now, total.excluded)
+            state.record_fleet_load(total.outstanding, total.service_time, now, total.excluded)
 
 
 def _time_code(time: Seconds) -> int:
--- a/src/limedeck/node/connection_news.py
+++ b/src/limedeck/node/connection_updates.py
@@ -6,25 +6,25 @@
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.quarantine import QuarantineLedger
 from limedeck.identity import Seconds
-from limedeck.node.crash_news import CrashNewsPeer
-from limedeck.node.leaving_news import LeavingNewsPeer
-from limedeck.node.limit_news import LimitNewsPeer
+from limedeck.node.crash_updates import CrashUpdatePeer
+from limedeck.node.leaving_updates import LeavingUpdatePeer
+from limedeck.node.limit_updates import LimitUpdatePeer
 
 
-class ConnectionNews:
+class ConnectionUpdates:
     """Crashes and statements exchanged with the node at the other end of a connection."""
 
     def __init__(self, quarantine: QuarantineLedger, directory: BackendDirectory) -> None:
-        self.crashes = CrashNewsPeer(quarantine)
+        self.crashes = CrashUpdatePeer(quarantine)
         self._statement_peers = (
-            LimitNewsPeer(directory.limits),
-            LeavingNewsPeer(directory.leaving),
+            LimitUpdatePeer(directory.limits),
+            LeavingUpdatePeer(directory.leaving),
         )
 
     @property
-    def has_urgent_news(self) -> bool:
+    def has_urgent_updates(self) -> bool:
         """Whether the other node lacks a statement; statements are sent immediately."""
-        return any(peer.has_news for peer in self._statement_peers)
+        return any(peer.has_updates for peer in self._statement_peers)
 
     def fill(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Add what the other node lacks."""
--- a/src/limedeck/node/control.py
+++ b/src/limedeck/node/control.py
@@ -21,13 +21,13 @@
 from limedeck.http_client import HttpClient
 from limedeck.identity import NEVER, Seconds
 from limedeck.node import load_exchange, order_sender, permit_exchange
-from limedeck.node.connection_news import ConnectionNews
+from limedeck.node.connection_updates import ConnectionUpdates
 from limedeck.node.election_calls import LEADER_ROW, ElectionCalls, decoded
 from limedeck.node.logs import get_logger
 from limedeck.node.owner_changes import PublishedOwners, read_owners
 from limedeck.node.state import NodeState
 from limedeck.node.telemetry import Telemetry
-from limedeck.ownership import standing
+from limedeck.ownership import candidate_priority
 from limedeck.ownership.commands import OwnershipCommand, SendGrant, SendRelease, WriteRecord
 from limedeck.ownership.election import (
     ElectionCore,
@@ -102,7 +102,9 @@
         self.loads = load_exchange.LoadExchange(state.directory, identity.node_id)
         self.permits = permit_exchange.PermitExchange(state.directory, self.election)
         self.processor = processor
-        self.fleet: Callable[[], standing.Fleet] = lambda: standing.fleet_of([processor])
+        self.fleet: Callable[[], candidate_priority.Fleet] = lambda: (
+            candidate_priority.describe_fleet([processor])
+        )
         self.on_owners: Callable[[], None] = lambda: None
         self.on_leader: Callable[[], None] = lambda: None
         self.on_statements: Callable[[], None] = lambda: None
@@ -141,9 +143,9 @@
         """This node's ledger of requests that end back ends."""
         return self._state.quarantine
 
-    def connection_news(self) -> ConnectionNews:
+    def connection_news(self) -> ConnectionUpdates:
         """What is to be told on a new connection to another node."""
-        return ConnectionNews(self._state.quarantine, self._state.directory)
+        return ConnectionUpdates(self._state.quarantine, self._state.directory)
 
     @property
     def store_offset(self) -> Seconds:
@@ -178,7 +180,7 @@
             strong_count=fleet.strong_count,
             store_silence=silence,
             incarnation=self._identity.incarnation,
-            resigned=self.election.stands_aside(now),
+            resigned=self.election.is_ineligible(now),
             clock=now,
             leader=record,
             leader_row_version=self.election.row_version if record is not None else 0,
@@ -194,9 +196,9 @@
         if not status.leads:
             self.election.handle_denial(leader.term, status.incarnation, status.resigned)
             if status.HasField("leader"):
-                self.election.handle_told(status.leader, status.leader_row_version, now)
+                self.election.handle_peer_record(status.leader, status.leader_row_version, now)
             return
-        fleet = standing.Fleet(status.node_count, status.strongest, status.strong_count)
+        fleet = candidate_priority.Fleet(status.node_count, status.strongest, status.strong_count)
         self.election.handle_heartbeat(status.term, status.store_silence, now, fleet)
         if status.term >= self.election.term:
             self._state.note_leader(status.store_silence, status.node_count, now)
@@ -227,7 +229,7 @@
             owned = self._services.get(load.service)
             if owned is None:
                 continue
-            owned.core.note_requests(((item.position, item.count) for item in load.keys), now)
+            owned.core.record_requests(((item.position, item.count) for item in load.keys), now)
 
     def handle_report_term(self, term: int) -> None:
         """Another node told which term it knows."""
@@ -261,7 +263,7 @@
         may_move = self.election.store_silence(now) < STORE_HEARD
         for name, owned in list(self._services.items()):
             if not self.election.former_leaders():
-                owned.core.handle_former_leaders_over(now)
+                owned.core.handle_former_leaders_ended(now)
             for order in owned.core.handle_tick(may_renew, now, may_yield, may_move):
                 self._start(self._run_ownership, name, owned, order)
             self._log_changes(name, owned.core)
@@ -277,7 +279,7 @@
     def _yield_office(self, name: str, owned: _OwnedService, now: Seconds) -> None:
         """Let another node lead, and tell all that follow this one."""
         self._log.warning("leadership_yielded", service=name, term=owned.term)
-        self.election.yield_office(now)
+        self.election.yield_leadership(now)
         self.on_leader()
 
     def _leave_office(self) -> None:
@@ -318,7 +320,7 @@
             for backend_id, total in known.items():
                 if total is None:
                     continue
-                owned.core.note_answered(backend_id, total.answered_at)
+                owned.core.record_last_response(backend_id, total.answered_at)
                 if total.service_time > 0.0:
                     owned.core.set_service_time(backend_id, total.service_time)
 
@@ -344,7 +346,7 @@
             mean=round(sum(core.uses.values()) / len(core.uses), 2),
             service_time=round(core.typical_service_time(), 4),
             owners=len(core.uses),
-            unheard=core.unheard_owners(now),
+            unheard=core.unresponsive_owners(now),
             tick_delay=round(self._longest_delay, 3),
             uses={backend_id: round(use, 2) for backend_id, use in by_use[:LOGGED_USES]},
         )
--- a/src/limedeck/node/crash_gossip.py
+++ b/src/limedeck/node/crash_gossip.py
@@ -14,7 +14,7 @@
 from limedeck.api import control_pb2
 from limedeck.clock import steady_clock
 from limedeck.identity import Seconds
-from limedeck.node.crash_news import CrashNewsPeer
+from limedeck.node.crash_updates import CrashUpdatePeer
 from limedeck.node.framing import encode_frame
 from limedeck.node.logs import get_logger
 from limedeck.node.state import NodeState
@@ -45,7 +45,7 @@
         self._state = state
         self._has_leader = has_leader
         self._own_host = own_host
-        self._peers: dict[str, CrashNewsPeer] = {}
+        self._peers: dict[str, CrashUpdatePeer] = {}
         self._log = get_logger("quarantine")
 
     async def run(self) -> None:
@@ -60,7 +60,7 @@
                     tasks.start_soon(self._tell, address)
 
     async def _tell(self, address: str) -> None:
-        peer = self._peers.setdefault(address, CrashNewsPeer(self._ledger))
+        peer = self._peers.setdefault(address, CrashUpdatePeer(self._ledger))
         news = peer.news(steady_clock())
         if news is None:
             return
--- a/src/limedeck/node/crash_news.py
+++ b/src/limedeck/node/crash_updates.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 
 from limedeck.api import control_pb2
-from limedeck.forwarding import content, quarantine, quarantine_news
+from limedeck.forwarding import quarantine, quarantine_updates, request_content
 from limedeck.identity import Seconds
-from limedeck.node import ages
+from limedeck.node import message_ages
 
 
-class CrashNewsPeer:
+class CrashUpdatePeer:
     """How far the node at the other end of a connection was told."""
 
     def __init__(self, ledger: quarantine.QuarantineLedger) -> None:
@@ -25,7 +25,7 @@
 
     def news(self, now: Seconds) -> control_pb2.CrashNews | None:
         """Return what the other node lacks, and note that it was told; None if nothing."""
-        news, self._told = self._ledger.news_since(self._told, self)
+        news, self._told = self._ledger.updates_since(self._told, self)
         return encoded(news, now) if news else None
 
     def take(self, message: control_pb2.CrashNews, now: Seconds) -> None:
@@ -33,60 +33,64 @@
         self._ledger.take(decoded(message, now), self, now)
 
 
-def encoded(news: Iterable[quarantine_news.News], now: Seconds) -> control_pb2.CrashNews:
+def encoded(
+    news: Iterable[quarantine_updates.QuarantineUpdate], now: Seconds
+) -> control_pb2.CrashNews:
     """Write news; ages instead of times, since nodes' clocks have nothing in common."""
     message = control_pb2.CrashNews()
     for item in news:
         match item:
-            case quarantine_news.CrashNews():
+            case quarantine_updates.CrashUpdate():
                 message.crashes.add(
                     backend=item.backend_id,
-                    age=ages.age_of(item.at, now),
+                    age=message_ages.age_of(item.at, now),
                     lost=[_written(request) for request in sorted(item.requests)],
                 )
-            case quarantine_news.ServedNews():
-                message.served.add(request=item.request, age=ages.age_of(item.at, now))
-            case quarantine_news.Quarantine():
+            case quarantine_updates.ServedUpdate():
+                message.served.add(request=item.request, age=message_ages.age_of(item.at, now))
+            case quarantine_updates.Quarantine():
                 message.quarantined.add(
                     request=item.request,
                     level=item.level,
-                    age=ages.age_of(item.began, now),
-                    ends_in=round((item.ends - now) * ages.MILLISECONDS),
+                    age=message_ages.age_of(item.began, now),
+                    ends_in=round((item.ends - now) * message_ages.MILLISECONDS),
                 )
     return message
 
 
-def decoded(message: control_pb2.CrashNews, now: Seconds) -> list[quarantine_news.News]:
+def decoded(
+    message: control_pb2.CrashNews, now: Seconds
+) -> list[quarantine_updates.QuarantineUpdate]:
     """Read news: what was served last, so that it clears what is told beside it."""
-    news: list[quarantine_news.News] = [
-        quarantine_news.CrashNews(
+    news: list[quarantine_updates.QuarantineUpdate] = [
+        quarantine_updates.CrashUpdate(
             crash.backend,
-            ages.time_of(crash.age, now),
-            frozenset(_read(request) for request in crash.lost[: quarantine.MOST_LOSSES]),
+            message_ages.time_of(crash.age, now),
+            frozenset(_read(request) for request in crash.lost[: quarantine.MAX_LOST_REQUESTS]),
         )
         for crash in message.crashes
     ]
     news += [
-        quarantine_news.Quarantine(
+        quarantine_updates.Quarantine(
             item.request,
             item.level,
-            ages.time_of(item.age, now),
-            now + item.ends_in / ages.MILLISECONDS,
+            message_ages.time_of(item.age, now),
+            now + item.ends_in / message_ages.MILLISECONDS,
         )
         for item in message.quarantined
     ]
     news += [
-        quarantine_news.ServedNews(item.request, ages.time_of(item.age, now))
+        quarantine_updates.ServedUpdate(item.request, message_ages.time_of(item.age, now))
         for item in message.served
     ]
     return news
 
 
-def _written(request: content.RequestSigns) -> control_pb2.RequestSigns:
+def _written(request: request_content.RequestFingerprints) -> control_pb2.RequestSigns:
     return control_pb2.RequestSigns(
         target=request.target, content=request.content, caller=request.caller
     )
 
 
-def _read(request: control_pb2.RequestSigns) -> content.RequestSigns:
-    return content.RequestSigns(request.target, request.content, request.caller)
+def _read(request: control_pb2.RequestSigns) -> request_content.RequestFingerprints:
+    return request_content.RequestFingerprints(request.target, request.content, request.caller)
--- a/src/limedeck/node/crash_watch.py
+++ b/src/limedeck/node/crash_watch.py
@@ -6,7 +6,7 @@
 from anyio.abc import TaskGroup
 
 from limedeck.clock import steady_clock
-from limedeck.forwarding import content, quarantine_news
+from limedeck.forwarding import quarantine_updates, request_content
 from limedeck.http_client import HttpClient
 from limedeck.identity import NEVER, Seconds
 from limedeck.model import Backend
@@ -53,10 +53,10 @@
                 await anyio.sleep(TICK)
                 self.judge(steady_clock())
 
-    def note_lost(self, backend: Backend, asked: content.RequestContent) -> None:
+    def record_lost_request(self, backend: Backend, asked: request_content.RequestContent) -> None:
         """A back end dropped the connection while it was at work on a request."""
         now = steady_clock()
-        self._ledger.note_lost(backend.backend_id, asked.signs, now)
+        self._ledger.record_lost_request(backend.backend_id, asked.fingerprints, now)
         is_due = now - self._looked_at.get(backend.backend_id, NEVER) >= LOOK_INTERVAL
         if is_due and self._tasks is not None:
             self._looked_at[backend.backend_id] = now
@@ -69,10 +69,10 @@
         refused by all back ends, and must not take them from all other nodes.
         """
         now = steady_clock()
-        self._ledger.note_ended(backend.backend_id, now)
+        self._ledger.record_process_exit(backend.backend_id, now)
         state = self._state.directory.find(backend.backend_id)
         if state is not None:
-            state.note_ended(now)
+            state.record_process_exit(now)
 
     def judge(self, now: Seconds) -> None:
         """Look at what is known by now, and tell what came of it."""
@@ -95,31 +95,34 @@
                 if error.by_other_end:
                     self.note_refused(backend)
                 return
-        self._ledger.note_alive(backend.backend_id)
+        self._ledger.record_alive(backend.backend_id)
 
-    def _tell(self, event: quarantine_news.Event, now: Seconds) -> None:
+    def _tell(self, event: quarantine_updates.Event, now: Seconds) -> None:
         """Count an event, and log it unless there are too many."""
         match event:
-            case quarantine_news.BackendEnded():
+            case quarantine_updates.BackendEnded():
                 self._telemetry.backend_crashes.inc()
-            case quarantine_news.QuarantineBegan():
+            case quarantine_updates.QuarantineBegan():
                 self._telemetry.quarantines.labels("began").inc()
-            case quarantine_news.QuarantineEnded():
+            case quarantine_updates.QuarantineEnded():
                 self._telemetry.quarantines.labels("ended").inc()
         if self._lines.allows():
             self._write_line(event, now)
 
-    def _write_line(self, event: quarantine_news.Event, now: Seconds) -> None:
+    def _write_line(self, event: quarantine_updates.Event, now: Seconds) -> None:
         match event:
-            case quarantine_news.BackendEnded():
+            case quarantine_updates.BackendEnded():
                 self._log.info("back_end_crashed", backend=event.backend_id, lost=event.lost)
-            case quarantine_news.QuarantineBegan():
+            case quarantine_updates.QuarantineBegan():
                 self._log.warning(
                     "quarantine_began",
-                    fingerprint=content.shown(event.quarantine.request),
+                    fingerprint=request_content.format_fingerprint(event.quarantine.request),
                     level=event.quarantine.level,
                     ends_in=round(event.quarantine.ends - now, 1),
-                    told=event.told,
+                    told=event.from_peer,
+                )
+            case quarantine_updates.QuarantineEnded():
+                self._log.info(
+                    "quarantine_ended",
+                    fingerprint=request_content.format_fingerprint(event.request),
                 )
-            case quarantine_news.QuarantineEnded():
-                self._log.info("quarantine_ended", fingerprint=content.shown(event.request))
--- a/src/limedeck/node/election_calls.py
+++ b/src/limedeck/node/election_calls.py
@@ -18,7 +18,7 @@
     Confirm,
     ElectionCommand,
     ElectionCore,
-    LeaderSeen,
+    LeaderReadResult,
     ReadLeader,
 )
 from limedeck.store.rows import (
@@ -72,7 +72,7 @@
                     await self._confirm(command)
         except StoreError as error:
             self._log.info("election_call_failed", problem=str(error))
-            self._election.handle_no_answer(steady_clock())
+            self._election.handle_store_failure(steady_clock())
             self._store_missed = True
             return
         if self._store_missed:
@@ -91,7 +91,7 @@
             confirmation_age=seen.confirmation_age,
         )
         known = self._election.term
-        self._election.handle_seen(seen, steady_clock())
+        self._election.handle_leader_read(seen, steady_clock())
         self._telemetry.term.set(self._election.term)
         if self._election.term > known:
             self.on_leader()
@@ -102,11 +102,11 @@
         try:
             written = await self._store.transact([condition], [write])
         except ConditionFailed as error:
-            self._election.handle_seen(_leader_seen(error.rows, 0.0), steady_clock())
+            self._election.handle_leader_read(_leader_seen(error.rows, 0.0), steady_clock())
             return
         self._log.info("elected", term=command.record.term, why=command.why.value)
         self._note_store_time(written.store_time)
-        self._election.handle_won(command.record, written.version, steady_clock())
+        self._election.handle_elected(command.record, written.version, steady_clock())
         self._telemetry.term.set(self._election.term)
 
     async def _confirm(self, command: Confirm) -> None:
@@ -119,7 +119,7 @@
         try:
             written = await self._store.transact([condition], [write])
         except ConditionFailed as error:
-            self._election.handle_seen(_leader_seen(error.rows, 0.0), steady_clock())
+            self._election.handle_leader_read(_leader_seen(error.rows, 0.0), steady_clock())
             return
         self._note_store_time(written.store_time)
         self._election.handle_confirmed(sent_at)
@@ -128,7 +128,7 @@
         self.store_offset = store_time - steady_clock()
 
 
-def _leader_seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderSeen:
+def _leader_seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
     record = None
     version = ABSENT
     age = None
@@ -141,7 +141,7 @@
             confirmation = decoded(row, LeaderConfirmation)
             if confirmation.term == record.term:
                 age = store_time - confirmation.confirmed_at
-    return LeaderSeen(record, version, age)
+    return LeaderReadResult(record, version, age)
 
 
 def decoded(row: StoredRow, kind: type[Record]) -> Record:
--- a/src/limedeck/node/followers.py
+++ b/src/limedeck/node/followers.py
@@ -12,19 +12,19 @@
 from limedeck.forwarding.owners import OwnerMap
 from limedeck.identity import Seconds
 from limedeck.node import backend_loads
-from limedeck.node.connection_news import ConnectionNews
+from limedeck.node.connection_updates import ConnectionUpdates
 from limedeck.node.connections import ENDED, SILENCE_LIMIT, FrameSender
 from limedeck.node.control import ControlHost
 from limedeck.node.crash_gossip import some_peers
 from limedeck.node.framing import FrameReader
 from limedeck.node.logs import get_logger
-from limedeck.node.news import PeerTables, StoreNews
-from limedeck.node.notice import Notice
-from limedeck.ownership import standing
+from limedeck.node.notifier import Notifier
+from limedeck.node.table_exchange import PeerTables, TableExchange
+from limedeck.ownership import candidate_priority
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck.store.feeds import choose_observers
 
-TELLING_TIME: Seconds = 0.0015
+STATUS_SEND_TIME: Seconds = 0.0015
 """What it may cost a leader on a slow machine to tell one node; an estimate, not measured. It lets
 that pass for each node between two messages; what changes meanwhile goes into the next one."""
 PEERS_INTERVAL: Seconds = 5.0
@@ -41,7 +41,7 @@
         address: str,
         zone: str,
         control: ControlHost,
-        news: StoreNews,
+        news: TableExchange,
         timing: OwnershipTiming,
     ) -> None:
         self._host, _, port = address.rpartition(":")
@@ -54,10 +54,10 @@
         self._addresses: dict[str, str] = {}
         self._random = random.Random()
         self._observers: frozenset[str] = frozenset()
-        self._fleet = standing.fleet_of([control.processor])
+        self._fleet = candidate_priority.describe_fleet([control.processor])
         self._zone = zone
         self._store_news = news
-        self._news = Notice()
+        self._news = Notifier()
         self._log = get_logger("peers")
         control.fleet = self.fleet
         control.on_owners = self._tell_all
@@ -69,14 +69,16 @@
         """Nodes that follow this one, and itself."""
         return len(self._nodes) + 1
 
-    def fleet(self) -> standing.Fleet:
+    def fleet(self) -> candidate_priority.Fleet:
         """Describe the nodes that follow this one, and itself."""
         return self._fleet
 
     def _note_membership(self) -> None:
         """A node has begun to follow this one, or has left."""
         self._observers = choose_observers(self._zones, self._zone)
-        self._fleet = standing.fleet_of([self._control.processor, *self._processors.values()])
+        self._fleet = candidate_priority.describe_fleet(
+            [self._control.processor, *self._processors.values()]
+        )
 
     async def serve(self) -> None:
         """Listen until cancelled."""
@@ -97,7 +99,7 @@
             tasks.cancel_scope.cancel()
 
     async def _read_reports(
-        self, stream: SocketStream, sender: FrameSender, peer: PeerTables, told: ConnectionNews
+        self, stream: SocketStream, sender: FrameSender, peer: PeerTables, told: ConnectionUpdates
     ) -> None:
         reader = FrameReader(stream, ControlMessage)
         node = ""
@@ -149,13 +151,13 @@
 
     def _telling_pause(self) -> Seconds:
         """Longer the more nodes there are, but no node may take the leader for lost."""
-        return min(TELLING_TIME * self.node_count(), self._timing.heartbeat_interval)
+        return min(STATUS_SEND_TIME * self.node_count(), self._timing.heartbeat_interval)
 
     async def _send_statuses(
         self,
         sender: FrameSender,
         peer: PeerTables,
-        news: ConnectionNews,
+        news: ConnectionUpdates,
         scope: anyio.CancelScope,
     ) -> None:
         next_peers = steady_clock() + FIRST_PEERS
--- a/src/limedeck/node/former_leader_inquiry.py
+++ b/src/limedeck/node/former_leader_inquiry.py
@@ -54,4 +54,4 @@
                     if not message.status.leads or message.status.term >= report.term:
                         break
         self._log.info("former_leader_over", node=former.node_id)
-        self._control.election.handle_former_over(former)
+        self._control.election.handle_former_leader_ended(former)
--- a/src/limedeck/node/gateway.py
+++ b/src/limedeck/node/gateway.py
@@ -8,16 +8,23 @@
 import anyio
 
 from limedeck.clock import steady_clock
-from limedeck.forwarding.commands import AskPermit, Attempt, Command, Reason, Refuse, Wait
-from limedeck.forwarding.content import RequestContent
+from limedeck.forwarding.commands import (
+    Attempt,
+    Command,
+    RefusalReason,
+    Refuse,
+    RequestPermit,
+    Wait,
+)
 from limedeck.forwarding.protocol import CallerProtocol, Headers
 from limedeck.forwarding.request import RequestCore
+from limedeck.forwarding.request_content import RequestContent
 from limedeck.forwarding.request_guard import RequestGuard
 from limedeck.forwarding.routes import choose_service
-from limedeck.http_client import HttpAnswer, HttpClient, HttpRequest
+from limedeck.http_client import HttpClient, HttpRequest, HttpResponse
 from limedeck.identity import Seconds
 from limedeck.model import Route
-from limedeck.node import answer_reader
+from limedeck.node import response_reader
 from limedeck.node.asgi import Receive, Scope, Send
 from limedeck.node.crash_watch import CrashWatch
 from limedeck.node.permit_exchange import PermitExchange
@@ -80,10 +87,10 @@
     headers: Headers
     route: Route
     core: RequestCore
-    arrived: Seconds
+    arrived_at: Seconds
     left: bool = False
     ended: bool = False
-    error_answer: HttpAnswer | None = None
+    error_answer: HttpResponse | None = None
     scope: anyio.CancelScope | None = None
 
 
@@ -105,7 +112,7 @@
         self._protocol = protocol
         self._client = client
         self._log = log
-        self._reader = answer_reader.AnswerReader(state.directory, protocol, log)
+        self._reader = response_reader.ResponseReader(state.directory, protocol, log)
         self._open: set[_Call] = set()
 
     def end_open(self) -> None:
@@ -167,10 +174,10 @@
         time_left = self._protocol.time_left(headers)
         deadline = now + min(time_left or LONGEST_DEADLINE, LONGEST_DEADLINE)
         service = self._state.service(choose_service(route, request_id))
-        service.budget.note_request(now)
+        service.budget.record_request(now)
         position = self._protocol.key_position(headers) if service.keyed else None
-        returned = service.note_wait(route.name, deadline - now)
-        if position is not None and not returned:
+        is_client_retry = service.record_wait(route.name, deadline - now)
+        if position is not None and not is_client_retry:
             service.key_counts[position] += 1
         content = _content(scope, route.host, body, position)
         core = RequestCore(
@@ -181,7 +188,7 @@
             position,
             deadline,
             now,
-            returned,
+            is_client_retry,
             RequestGuard(self._state.quarantine, content),
         )
         passed = self._passed_headers(scope["headers"], body)
@@ -213,7 +220,7 @@
 
     async def _serve_watched(self, call: _Call, receive: Receive, send: Send) -> None:
         """Run a request; a repeatable one is cancelled when its caller leaves."""
-        result: HttpAnswer | Refuse | None = None
+        result: HttpResponse | Refuse | None = None
         async with anyio.create_task_group() as tasks:
             call.scope = tasks.cancel_scope
 
@@ -230,16 +237,16 @@
         if result is None and call.ended:
             result = call.core.give_up()
         if result is None or call.left:
-            self._log.caller_left(call.request_id, call.core, call.arrived)
+            self._log.caller_left(call.request_id, call.core, call.arrived_at)
             return
         if isinstance(result, Refuse):
-            self._log.refused(call.request_id, call.core, result, call.arrived)
+            self._log.refused(call.request_id, call.core, result, call.arrived_at)
             await self._refuse(send, result)
             return
-        self._log.answered(call.request_id, call.core, result.status, call.arrived)
+        self._log.answered(call.request_id, call.core, result.status, call.arrived_at)
         await self._pass_on(send, result)
 
-    async def _run(self, call: _Call) -> HttpAnswer | Refuse | None:
+    async def _run(self, call: _Call) -> HttpResponse | Refuse | None:
         core = call.core
         command = self._next_command(core)
         while True:
@@ -251,18 +258,18 @@
                 await self._state.wait_for_change(command.until - steady_clock())
                 command = self._next_command(core)
                 continue
-            if isinstance(command, AskPermit):
-                answer = await self._permits.ask(command.ask)
+            if isinstance(command, RequestPermit):
+                answer = await self._permits.request(command.permit_request)
                 now = steady_clock()
                 command = core.handle_permit(command, answer, now, self._state.retry_sharers(now))
                 continue
             result = await self._attempt(call, command)
-            if isinstance(result, HttpAnswer):
+            if isinstance(result, HttpResponse):
                 return result
             phase, wrong_owner = result
             now = steady_clock()
-            sharers = self._state.retry_sharers(now)
-            command = core.handle_failure(phase, now, sharers, wrong_owner)
+            sharing_nodes = self._state.retry_sharers(now)
+            command = core.handle_failure(phase, now, sharing_nodes, wrong_owner)
 
     def _next_command(self, core: RequestCore) -> Command:
         now = steady_clock()
@@ -270,7 +277,7 @@
 
     async def _attempt(
         self, call: _Call, attempt: Attempt
-    ) -> HttpAnswer | tuple[FailurePhase, bool]:
+    ) -> HttpResponse | tuple[FailurePhase, bool]:
         backend = attempt.state.backend
         started = steady_clock()
         added = self._protocol.attempt_headers(backend.name, attempt.until - started)
@@ -297,15 +304,15 @@
         return self._judge(call, attempt, answer, started)
 
     def _judge(
-        self, call: _Call, attempt: Attempt, answer: HttpAnswer, started: Seconds
-    ) -> HttpAnswer | tuple[FailurePhase, bool]:
+        self, call: _Call, attempt: Attempt, answer: HttpResponse, started: Seconds
+    ) -> HttpResponse | tuple[FailurePhase, bool]:
         """Return an answer that may be passed on, or how the attempt failed."""
         result = self._reader.read(call.request_id, attempt, answer, started)
         if result.phase is None:
             if call.core.guard is not None:
-                call.core.guard.note_served(result.received_at)
+                call.core.guard.record_served(result.received_at)
             took = result.received_at - started
-            attempt.state.note_answer(
+            attempt.state.record_response(
                 took, result.load, result.received_at, call.route.name, attempt.ahead
             )
             return answer
@@ -321,11 +328,11 @@
             self._watch.note_refused(backend)
             return
         if error.by_other_end and error.phase not in SURELY_NOT_RUN:
-            self._watch.note_lost(backend, call.content)
+            self._watch.record_lost_request(backend, call.content)
         if now < attempt.until:
-            attempt.state.note_failure(now, own_fault=attempt.ahead < backend.slots)
+            attempt.state.record_failure(now, own_fault=attempt.ahead < backend.slots)
 
-    async def _pass_on(self, send: Send, answer: HttpAnswer) -> None:
+    async def _pass_on(self, send: Send, answer: HttpResponse) -> None:
         dropped = CONNECTION_HEADERS | _named_by_connection(answer.headers)
         headers = [
             (name, value)
@@ -339,7 +346,7 @@
         if refuse.outcome is Outcome.NOT_RUN:
             await self._say(send, NOT_RUN, refuse.retry_after)
             return
-        await self._say(send, TIMED_OUT if refuse.reason is Reason.TIMED_OUT else LOST)
+        await self._say(send, TIMED_OUT if refuse.reason is RefusalReason.TIMED_OUT else LOST)
 
     async def _say(self, send: Send, status: int, retry_after: Seconds | None = None) -> None:
         headers = [(b"content-length", b"0")]
--- a/src/limedeck/node/http_server.py
+++ b/src/limedeck/node/http_server.py
@@ -17,7 +17,7 @@
 """Seconds that an idle connection of a caller is kept; an estimate."""
 
 
-LARGEST_HEAD = 128 * 1024
+MAX_HEAD_SIZE = 128 * 1024
 """Bytes of a request's head, eight times what callers are told that they may send. The library
 keeps whatever comes until the head has ended."""
 HEAD_TOO_LARGE = (
@@ -38,7 +38,7 @@
         if not self._reads_head:
             return
         self._head_bytes += len(data)
-        if self._head_bytes > LARGEST_HEAD and not self.transport.is_closing():
+        if self._head_bytes > MAX_HEAD_SIZE and not self.transport.is_closing():
             self.transport.write(HEAD_TOO_LARGE)
             self.transport.close()
 
--- a/src/limedeck/node/inspection.py
+++ b/src/limedeck/node/inspection.py
@@ -110,7 +110,7 @@
 
     def _backend(self, state: BackendState, now: Seconds) -> BackendView:
         backend = state.backend
-        bound = self._state.directory.availability.bound_of(state, now)
+        bound = self._state.directory.availability.rate_bound(state, now)
         return BackendView(
             backend=backend.backend_id,
             service=backend.service,
@@ -130,7 +130,7 @@
             "leaving": directory.leaving.leaving_since(state.backend.backend_id) is not None,
             "backing-off": directory.availability.check_backoff(state, now) is not None,
             "limited": directory.limits.rate(state.backend.backend_id) is not None,
-            "passed-over": state.is_passed_over(now),
+            "passed-over": state.is_ejected(now),
         }
         return [name for name, is_so in holds.items() if is_so]
 
--- a/src/limedeck/node/counted_store.py
+++ b/src/limedeck/node/instrumented_store.py
@@ -9,18 +9,18 @@
 from limedeck.node.telemetry import Telemetry
 from limedeck.store.rows import (
     ConditionFailed,
-    HistoryGone,
+    HistoryCompacted,
     RowCondition,
     RowStore,
     RowWrite,
     StoreError,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 
-class CountedStore(RowStore):
+class InstrumentedStore(RowStore):
     """Passes calls on to a store and counts them.
 
     Attributes
@@ -45,7 +45,7 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         table = writes[0].row.table if writes else ""
         try:
             written = await self._store.transact(conditions, writes)
@@ -58,7 +58,7 @@
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
         try:
             found = await self._store.changes(table, after, wait)
-        except (HistoryGone, StoreError) as error:
+        except (HistoryCompacted, StoreError) as error:
             self._count("changes", table, type(error).__name__)
             raise
         self._count("changes", table, "done")
--- a/src/limedeck/node/leader_link.py
+++ b/src/limedeck/node/leader_link.py
@@ -12,7 +12,7 @@
 from limedeck.node.control import ControlHost
 from limedeck.node.framing import FrameReader
 from limedeck.node.logs import get_logger
-from limedeck.node.news import PeerTables, StoreNews
+from limedeck.node.table_exchange import PeerTables, TableExchange
 from limedeck.store.feeds import FeedPolicy
 
 LEADER_HEARD: Seconds = 0.9
@@ -36,7 +36,7 @@
         identity: LeaderRecord,
         zone: str,
         control: ControlHost,
-        news: StoreNews,
+        news: TableExchange,
         policy: FeedPolicy,
     ) -> None:
         self._identity = identity
@@ -103,7 +103,7 @@
         try:
             while True:
                 known = permits.news.count
-                if steady_clock() >= next_report or self._told.has_urgent_news:
+                if steady_clock() >= next_report or self._told.has_urgent_updates:
                     next_report = steady_clock() + REPORT_INTERVAL
                     message = ControlMessage(report=self._report())
                     message.report.peer_address = address
--- a/src/limedeck/node/leaving_news.py
+++ b/src/limedeck/node/leaving_updates.py
@@ -4,27 +4,27 @@
 
 from limedeck.api import control_pb2
 from limedeck.forwarding.leaving import LeavingStatement
-from limedeck.forwarding.statements import StatementNews
+from limedeck.forwarding.statements import StatementUpdate
 from limedeck.identity import Seconds
-from limedeck.node import ages
-from limedeck.node.statement_news import StatementNewsPeer
+from limedeck.node import message_ages
+from limedeck.node.statement_updates import StatementUpdatePeer
 
 
-class LeavingNewsPeer(StatementNewsPeer[LeavingStatement]):
+class LeavingUpdatePeer(StatementUpdatePeer[LeavingStatement]):
     """Exchanges leaving statements with the node at the other end of a connection."""
 
     def _write(
         self,
         message: control_pb2.Report | control_pb2.Status,
-        news: StatementNews[LeavingStatement],
+        news: StatementUpdate[LeavingStatement],
         now: Seconds,
     ) -> None:
         statement = news.statement
         message.leaving.add(
             backend=news.backend_id,
             leaving=statement.is_leaving,
-            asked=ages.age_of(statement.asked_at, now),
-            heard=ages.age_of(statement.heard_at, now),
+            asked=message_ages.age_of(statement.requested_at, now),
+            heard=message_ages.age_of(statement.received_at, now),
         )
 
     def _read(
@@ -34,7 +34,9 @@
             (
                 item.backend,
                 LeavingStatement(
-                    item.leaving, ages.time_of(item.asked, now), ages.time_of(item.heard, now)
+                    item.leaving,
+                    message_ages.time_of(item.asked, now),
+                    message_ages.time_of(item.heard, now),
                 ),
             )
             for item in message.leaving
--- a/src/limedeck/node/limit_news.py
+++ b/src/limedeck/node/limit_updates.py
@@ -4,30 +4,30 @@
 
 from limedeck.api import control_pb2
 from limedeck.forwarding.limits import LimitStatement
-from limedeck.forwarding.statements import StatementNews
+from limedeck.forwarding.statements import StatementUpdate
 from limedeck.identity import Seconds
-from limedeck.node import ages
-from limedeck.node.statement_news import StatementNewsPeer
+from limedeck.node import message_ages
+from limedeck.node.statement_updates import StatementUpdatePeer
 
 HIGHEST_RATE = 1e9
 """Requests a second; a node tells no higher one, since it reads none."""
 
 
-class LimitNewsPeer(StatementNewsPeer[LimitStatement]):
+class LimitUpdatePeer(StatementUpdatePeer[LimitStatement]):
     """Exchanges limit statements with the node at the other end of a connection."""
 
     def _write(
         self,
         message: control_pb2.Report | control_pb2.Status,
-        news: StatementNews[LimitStatement],
+        news: StatementUpdate[LimitStatement],
         now: Seconds,
     ) -> None:
         statement = news.statement
         message.limits.add(
             backend=news.backend_id,
             rate=statement.rate,
-            asked=ages.age_of(statement.asked_at, now),
-            heard=ages.age_of(statement.heard_at, now),
+            asked=message_ages.age_of(statement.requested_at, now),
+            heard=message_ages.age_of(statement.received_at, now),
         )
 
     def _read(
@@ -42,4 +42,6 @@
     rate = item.rate if item.HasField("rate") else None
     if rate is not None and not 0.0 <= rate <= HIGHEST_RATE:
         return None
-    return LimitStatement(rate, ages.time_of(item.asked, now), ages.time_of(item.heard, now))
+    return LimitStatement(
+        rate, message_ages.time_of(item.asked, now), message_ages.time_of(item.heard, now)
+    )
--- a/src/limedeck/node/load_exchange.py
+++ b/src/limedeck/node/load_exchange.py
@@ -54,7 +54,7 @@
 
     def handle_totals(self, message: control_pb2.BackendTotals, now: Seconds) -> None:
         """The leader told what all nodes have."""
-        backend_loads.take_totals(self._reader.read(message), self._directory, now)
+        backend_loads.apply_totals(self._reader.read(message), self._directory, now)
 
     # ------------------------------------------------------------------ as the leader
 
@@ -74,20 +74,21 @@
     def refresh(self, now: Seconds) -> dict[str, fleet_load.BackendTotal]:
         """Add up what all nodes told, by back end, if that is due; this node believes it too."""
         if self._next_totals is None:
-            self._fleet_load.begin_with(backend_loads.known_service_times(self._directory), now)
+            self._fleet_load.initialize(backend_loads.known_service_times(self._directory), now)
         elif now < self._next_totals:
             return {}
         self._next_totals = now + TOTALS_INTERVAL
         self.handle_report(self._node_id, self.report(now), now)
         listed = {
-            backend_loads.mark_of(state.backend.backend_id): state.backend
+            backend_loads.backend_hash(state.backend.backend_id): state.backend
             for state in self._directory.all_states()
         }
         sums = self._fleet_load.totals(listed)
         overloaded = [
             total.backend
             for total in sums
-            if total.outstanding >= outliers.QUEUE_FOR_EACH_SLOT * listed[total.backend].slots
+            if total.outstanding
+            >= outliers.OVERLOAD_REQUESTS_PER_SLOT * listed[total.backend].slots
         ]
         services = {mark: backend.service for mark, backend in listed.items()}
         excluded = set(self._outliers.excluded(services, now, overloaded))
@@ -97,9 +98,9 @@
         self._log_excluded({listed[mark].backend_id for mark in excluded})
         totals = [dataclasses.replace(total, excluded=total.backend in excluded) for total in sums]
         # Owners of keys are planned by what was measured: their keys do not try out who is fast.
-        told = fleet_load.with_aged_times(totals, services, now)
+        told = fleet_load.with_decayed_service_times(totals, services, now)
         self._writer.write(told)
-        backend_loads.take_totals(told, self._directory, now)
+        backend_loads.apply_totals(told, self._directory, now)
         return {listed[total.backend].backend_id: total for total in totals}
 
     def totals_for(self, told: backend_loads.ToldTotals) -> control_pb2.BackendTotals | None:
--- a/src/limedeck/node/notice.py
+++ b/src/limedeck/node/notifier.py
@@ -7,7 +7,7 @@
 from limedeck.identity import Seconds
 
 
-class Notice:
+class Notifier:
     """Wakes all that wait for news, and whoever did not wait when they came.
 
     Attributes
--- a/src/limedeck/node/order_sender.py
+++ b/src/limedeck/node/order_sender.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from limedeck.clock import steady_clock
-from limedeck.forwarding.backends import BackendDirectory, Contact
+from limedeck.forwarding.backends import BackendDirectory, Endpoint
 from limedeck.forwarding.leaving import LeavingStatement
-from limedeck.http_client import HttpAnswer, HttpClient, HttpRequest
+from limedeck.http_client import HttpClient, HttpRequest, HttpResponse
 from limedeck.identity import Seconds
 from limedeck.node.logs import get_logger
 from limedeck.node.telemetry import Telemetry
@@ -82,7 +82,7 @@
         )
         core.handle_release_answer(order, done, handover, steady_clock())
 
-    def _note_leaving(self, backend_id: str, answer: HttpAnswer, sent_at: Seconds) -> None:
+    def _note_leaving(self, backend_id: str, answer: HttpResponse, sent_at: Seconds) -> None:
         """Record a leaving announcement; an idle owner makes it only in answers to orders."""
         if self._orders.is_leaving(answer.headers):
             statement = LeavingStatement(True, sent_at, steady_clock())
@@ -97,7 +97,7 @@
         core.handle_order_lost(order, steady_clock())
 
     def _order_request(self, backend_id: str, order: Grant | Release) -> HttpRequest:
-        contact = self._directory.last_contact(backend_id) or Contact(UNKNOWN_ADDRESS, backend_id)
+        contact = self._directory.last_endpoint(backend_id) or Endpoint(UNKNOWN_ADDRESS, backend_id)
         address = contact.address
         if isinstance(order, Grant):
             written = self._orders.grant(order, contact.instance)
--- a/src/limedeck/node/permit_exchange.py
+++ b/src/limedeck/node/permit_exchange.py
@@ -13,25 +13,25 @@
 from limedeck.clock import steady_clock
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.permits import (
-    Bound,
     NoPermit,
     Permit,
-    PermitAnswer,
-    PermitAsk,
+    PermitRequest,
+    PermitResponse,
+    RateBound,
 )
 from limedeck.identity import Seconds
-from limedeck.node.ages import MILLISECONDS
-from limedeck.node.limit_news import HIGHEST_RATE
-from limedeck.node.notice import Notice
+from limedeck.node.limit_updates import HIGHEST_RATE
+from limedeck.node.message_ages import MILLISECONDS
+from limedeck.node.notifier import Notifier
 from limedeck.ownership.election import ElectionCore
-from limedeck.ownership.lending import UNHEARD, Lending
+from limedeck.ownership.leader_permits import NO_LEADER_RESPONSE, LeaderPermitIssuer
 
 ANSWER_PATIENCE: Seconds = 0.1
 """A leader that has not answered by then is slow or gone, and the request is refused: what cannot
 be served is not to wait."""
 MOST_WAITING = 64
 """Requests of one node that wait for an answer. With as many waiting there is no room for more."""
-LONGEST_PAUSE: Seconds = 60.0
+MAX_PAUSE: Seconds = 60.0
 """What a leader tells is not believed beyond it; far above the pause for the lowest rate."""
 
 
@@ -39,9 +39,9 @@
 class _Waiting:
     """A request that waits for its permit."""
 
-    ask: PermitAsk
+    ask: PermitRequest
     answered: anyio.Event
-    answer: PermitAnswer = UNHEARD
+    answer: PermitResponse = NO_LEADER_RESPONSE
 
 
 class PermitExchange:
@@ -55,21 +55,21 @@
 
     def __init__(self, directory: BackendDirectory, election: ElectionCore) -> None:
         self._directory = directory
-        self._lending = Lending(election)
+        self._lending = LeaderPermitIssuer(election)
         self._numbers = itertools.count(1)
         self._waiting: dict[int, _Waiting] = {}
         self._unsent: list[int] = []
         self._is_connected = False
-        self.news = Notice()
+        self.news = Notifier()
 
     # ------------------------------------------------------------------ as one that asks
 
-    async def ask(self, ask: PermitAsk) -> PermitAnswer:
+    async def request(self, ask: PermitRequest) -> PermitResponse:
         """Ask the leader, or decide if this node leads; without a leader there are none."""
         if self._lending.leads:
             return self._lend(ask, steady_clock())
         if not self._is_connected or len(self._waiting) >= MOST_WAITING:
-            return UNHEARD
+            return NO_LEADER_RESPONSE
         number = next(self._numbers)
         waiting = _Waiting(ask, anyio.Event())
         self._waiting[number] = waiting
@@ -90,7 +90,7 @@
                 number=number,
                 backend=waiting.ask.bound.backend_id,
                 rate=waiting.ask.bound.rate,
-                patience=round(waiting.ask.patience * MILLISECONDS),
+                patience=round(waiting.ask.max_wait * MILLISECONDS),
             )
             for number in numbers
             if (waiting := self._waiting.get(number)) is not None
@@ -103,7 +103,7 @@
             waiting = self._waiting.get(item.number)
             if waiting is None:
                 continue
-            pause = min(item.pause / MILLISECONDS, LONGEST_PAUSE)
+            pause = min(item.pause / MILLISECONDS, MAX_PAUSE)
             waiting.answer = Permit(pause) if item.lent else NoPermit(pause)
             waiting.answered.set()
 
@@ -129,7 +129,7 @@
     ) -> Iterable[control_pb2.PermitAnswer]:
         for item in asks:
             rate = item.rate if 0.0 <= item.rate <= HIGHEST_RATE else 0.0
-            ask = PermitAsk(Bound(item.backend, rate), item.patience / MILLISECONDS)
+            ask = PermitRequest(RateBound(item.backend, rate), item.patience / MILLISECONDS)
             match self._lend(ask, now):
                 case Permit(wait):
                     # Rounded up: no turn may come early.
@@ -139,7 +139,7 @@
                     pause = math.ceil(pause_left * MILLISECONDS)
                     yield control_pb2.PermitAnswer(number=item.number, lent=False, pause=pause)
 
-    def _lend(self, ask: PermitAsk, now: Seconds) -> PermitAnswer:
+    def _lend(self, ask: PermitRequest, now: Seconds) -> PermitResponse:
         state = self._directory.find(ask.bound.backend_id)
-        known = self._directory.availability.bound_of(state, now) if state is not None else None
-        return self._lending.answer(ask, known.rate if known else None, now)
+        known = self._directory.availability.rate_bound(state, now) if state is not None else None
+        return self._lending.issue(ask, known.rate if known else None, now)
--- a/src/limedeck/node/quarantine_record.py
+++ b/src/limedeck/node/quarantine_record.py
@@ -14,7 +14,7 @@
 from limedeck.api import control_pb2
 from limedeck.clock import steady_clock
 from limedeck.errors import PlatformProtocolError
-from limedeck.forwarding import quarantine, quarantine_news
+from limedeck.forwarding import quarantine, quarantine_updates
 from limedeck.identity import Seconds
 from limedeck.node.control import ControlHost
 from limedeck.node.logs import get_logger
@@ -84,7 +84,7 @@
                 raise PlatformProtocolError(f"row {row.key}", str(error)) from error
         offset = now - found.store_time
         kept = [
-            quarantine_news.Quarantine(
+            quarantine_updates.Quarantine(
                 row.request, row.level, row.began + offset, row.ends + offset
             )
             for row in record.rows
@@ -119,5 +119,5 @@
         self._log.info("quarantine_record_written", requests=len(kept))
 
 
-def _marks(kept: list[quarantine_news.Quarantine]) -> frozenset[tuple[int, int]]:
+def _marks(kept: list[quarantine_updates.Quarantine]) -> frozenset[tuple[int, int]]:
     return frozenset((item.request, item.level) for item in kept)
--- a/src/limedeck/node/request_log.py
+++ b/src/limedeck/node/request_log.py
@@ -8,10 +8,10 @@
 import xxhash
 
 from limedeck.clock import steady_clock
-from limedeck.forwarding import content
+from limedeck.forwarding import request_content
 from limedeck.forwarding.availability import Unavailable
-from limedeck.forwarding.commands import Belief, Refuse
-from limedeck.forwarding.permits import Bound
+from limedeck.forwarding.commands import LoadEstimate, Refuse
+from limedeck.forwarding.permits import RateBound
 from limedeck.forwarding.request import RequestCore
 from limedeck.identity import Seconds
 from limedeck.model import Backend
@@ -57,8 +57,8 @@
                 outcome=why.outcome.value,
                 reason=why.reason.value,
                 retry_after=round(why.retry_after, 3),
-                returned=core.claim.returned,
-                **_told(why.belief),
+                returned=core.claim.is_client_retry,
+                **_told(why.details),
             )
 
     def caller_left(self, request_id: bytes, core: RequestCore, since: Seconds) -> None:
@@ -68,7 +68,7 @@
     def attempt_lost(
         self,
         request_id: bytes,
-        asked: content.RequestContent,
+        asked: request_content.RequestContent,
         backend: Backend,
         phase: FailurePhase,
         problem: str,
@@ -81,9 +81,9 @@
         told: dict[str, object] = {}
         if phase not in SURELY_NOT_RUN:
             told = {
-                "fingerprint": content.shown(asked.signs.caller),
-                "content": content.shown(asked.signs.content),
-                "target_sign": content.shown(asked.signs.target),
+                "fingerprint": request_content.format_fingerprint(asked.fingerprints.caller),
+                "content": request_content.format_fingerprint(asked.fingerprints.content),
+                "target_sign": request_content.format_fingerprint(asked.fingerprints.target),
                 "caller": asked.caller,
                 "target": asked.target.decode("latin-1")[:LONGEST_TARGET],
             }
@@ -166,19 +166,19 @@
         )
 
 
-def _told(belief: Belief | Bound | Unavailable | None) -> dict[str, object]:
+def _told(details: LoadEstimate | RateBound | Unavailable | None) -> dict[str, object]:
     """What is logged of the belief that decided a refusal."""
-    match belief:
+    match details:
         case None:
             return {}
-        case Bound(backend_id, rate):
+        case RateBound(backend_id, rate):
             return {"backend": backend_id, "bound": rate}
         case Unavailable(backend_id, cause, remaining):
             left = None if remaining is None else round(remaining, 3)
             return {"backend": backend_id, "unavailable": cause.value, "left": left}
     return {
-        "backend": belief.backend_id,
-        "expected": None if belief.expected is None else round(belief.expected, 4),
-        "load": round(belief.load, 1),
-        "load_age": round(belief.load_age, 3) if math.isfinite(belief.load_age) else None,
+        "backend": details.backend_id,
+        "expected": None if details.expected is None else round(details.expected, 4),
+        "load": round(details.load, 1),
+        "load_age": round(details.load_age, 3) if math.isfinite(details.load_age) else None,
     }
--- a/src/limedeck/node/answer_reader.py
+++ b/src/limedeck/node/response_reader.py
@@ -13,8 +13,8 @@
 from limedeck.forwarding.commands import Attempt
 from limedeck.forwarding.leaving import LeavingStatement
 from limedeck.forwarding.limits import LimitStatement
-from limedeck.forwarding.protocol import AnswerFacts, CallerProtocol, LoadReport
-from limedeck.http_client import HttpAnswer
+from limedeck.forwarding.protocol import CallerProtocol, LoadReport, ResponseMetadata
+from limedeck.http_client import HttpResponse
 from limedeck.identity import Seconds
 from limedeck.node.request_log import RequestLog
 from limedeck.routing.outcomes import FailurePhase
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerResult:
+class ResponseResult:
     """The result of one attempt, according to its answer.
 
     Parameters
@@ -47,7 +47,7 @@
     wrong_owner: bool = False
 
 
-class AnswerReader:
+class ResponseReader:
     """Processes the answers to one node's attempts."""
 
     def __init__(
@@ -58,55 +58,55 @@
         self._log = log
 
     def read(
-        self, request_id: bytes, attempt: Attempt, answer: HttpAnswer, asked_at: Seconds
-    ) -> AnswerResult:
+        self, request_id: bytes, attempt: Attempt, answer: HttpResponse, requested_at: Seconds
+    ) -> ResponseResult:
         """Classify an answer that arrived now, and record its statements."""
-        facts = self._protocol.answer_facts(answer.status, answer.headers)
+        facts = self._protocol.response_metadata(answer.status, answer.headers)
         now = steady_clock()
         backend = attempt.state.backend
         is_own = facts.request_id == request_id or (facts.request_id is None and facts.not_run)
-        if not is_own or not facts.credible:
-            attempt.state.note_failure(now)
+        if not is_own or not facts.is_from_backend:
+            attempt.state.record_failure(now)
             problem = "answer to another request" if not is_own else "unsigned answer"
             self._log.attempt_failed(request_id, backend, FailurePhase.AWAITING, problem)
-            return AnswerResult(FailurePhase.AWAITING, now)
-        self._take_statements(attempt, facts, answer, asked_at, now)
+            return ResponseResult(FailurePhase.AWAITING, now)
+        self._take_statements(attempt, facts, answer, requested_at, now)
         if facts.not_run:
             problem = f"status {answer.status}"
             self._log.attempt_failed(request_id, backend, FailurePhase.REFUSED, problem)
-            return AnswerResult(FailurePhase.REFUSED, now, facts.load, facts.wrong_instance)
+            return ResponseResult(FailurePhase.REFUSED, now, facts.load, facts.wrong_instance)
         if answer.status >= SERVER_ERROR:
             if answer.status != DEADLINE_PASSED:
-                attempt.state.note_failure(now)
+                attempt.state.record_failure(now)
             problem = f"status {answer.status}"
             self._log.attempt_failed(request_id, backend, FailurePhase.ERROR_ANSWER, problem)
-            return AnswerResult(FailurePhase.ERROR_ANSWER, now, facts.load)
-        return AnswerResult(None, now, facts.load)
+            return ResponseResult(FailurePhase.ERROR_ANSWER, now, facts.load)
+        return ResponseResult(None, now, facts.load)
 
     def _take_statements(
         self,
         attempt: Attempt,
-        facts: AnswerFacts,
-        answer: HttpAnswer,
-        asked_at: Seconds,
+        facts: ResponseMetadata,
+        answer: HttpResponse,
+        requested_at: Seconds,
         now: Seconds,
     ) -> None:
         if facts.load is not None:
-            attempt.state.note_load(facts.load, now)
+            attempt.state.record_load(facts.load, now)
         elif facts.unreadable_load:
             self._log.unreadable_load(attempt.state.backend)
         if facts.wrong_instance:
             # The address may have been reassigned to another back end.
             return
         is_served = not facts.not_run and answer.status < SERVER_ERROR
-        self._take_limit(attempt, facts, is_served, LimitStatement(facts.limit, asked_at, now))
-        self._take_leaving(attempt, facts, asked_at, now)
+        self._take_limit(attempt, facts, is_served, LimitStatement(facts.limit, requested_at, now))
+        self._take_leaving(attempt, facts, requested_at, now)
         self._take_backoff(attempt, answer, now)
         if is_served and answer.status not in retry_after.BACKOFF_STATUSES:
-            self._directory.backoffs.note_served(attempt.state.backend.backend_id, asked_at)
+            self._directory.backoffs.record_served(attempt.state.backend.backend_id, requested_at)
 
     def _take_limit(
-        self, attempt: Attempt, facts: AnswerFacts, is_served: bool, statement: LimitStatement
+        self, attempt: Attempt, facts: ResponseMetadata, is_served: bool, statement: LimitStatement
     ) -> None:
         """Record the limit that an answer names, or that it names none.
 
@@ -120,13 +120,13 @@
             self._directory.limits.take(backend.backend_id, statement)
 
     def _take_leaving(
-        self, attempt: Attempt, facts: AnswerFacts, asked_at: Seconds, now: Seconds
+        self, attempt: Attempt, facts: ResponseMetadata, requested_at: Seconds, now: Seconds
     ) -> None:
         if facts.leaving:
-            statement = LeavingStatement(True, asked_at, now)
+            statement = LeavingStatement(True, requested_at, now)
             self._directory.leaving.take(attempt.state.backend.backend_id, statement)
 
-    def _take_backoff(self, attempt: Attempt, answer: HttpAnswer, now: Seconds) -> None:
+    def _take_backoff(self, attempt: Attempt, answer: HttpResponse, now: Seconds) -> None:
         backend = attempt.state.backend
         try:
             seconds = retry_after.requested_backoff(answer.status, answer.headers)
--- a/src/limedeck/node/server.py
+++ b/src/limedeck/node/server.py
@@ -16,12 +16,11 @@
 from limedeck.clock import steady_clock
 from limedeck.errors import PlatformProtocolError
 from limedeck.forwarding.budget import RetryAllowance
-from limedeck.forwarding.spread import spread_of
+from limedeck.forwarding.hashing import hash_fraction
 from limedeck.http_client import HttpClient
 from limedeck.identity import Seconds
 from limedeck.model import Configuration
 from limedeck.node.control import ControlHost
-from limedeck.node.counted_store import CountedStore
 from limedeck.node.crash_gossip import CrashGossip
 from limedeck.node.crash_watch import CrashWatch
 from limedeck.node.followers import FollowerConnections
@@ -29,10 +28,10 @@
 from limedeck.node.gateway import CallerGateway
 from limedeck.node.http_server import serve
 from limedeck.node.inspection import InspectionApplication, NodeInspector
+from limedeck.node.instrumented_store import InstrumentedStore
 from limedeck.node.leader_link import LeaderLink
 from limedeck.node.listener import close_to_newcomers, open_listener
 from limedeck.node.logs import BoundedWriter, get_logger
-from limedeck.node.news import FeedKeeper, StoreNews
 from limedeck.node.quarantine_record import QuarantineRecordKeeper
 from limedeck.node.readiness import ReadinessApplication
 from limedeck.node.reload import SettingsFile
@@ -41,9 +40,10 @@
 from limedeck.node.state import NodeState
 from limedeck.node.statement_log import StatementLog
 from limedeck.node.suspension import SuspensionWatch
+from limedeck.node.table_exchange import FeedKeeper, TableExchange
 from limedeck.node.telemetry import Telemetry
 from limedeck.node.watchers import TableFollower, TableWatcher
-from limedeck.ownership.timing import timing_within
+from limedeck.ownership.timing import timing_for_longest_lease
 from limedeck.platform.grants import PlatformOrders
 from limedeck.platform.headers import PlatformProtocol
 from limedeck.platform.messages import (
@@ -89,7 +89,7 @@
             incarnation=secrets.randbits(48),
             peer_address=f"{node.ip}:{node.first_peer_port}",
         )
-        self._timing = timing_within(settings.ownership.longest_lease)
+        self._timing = timing_for_longest_lease(settings.ownership.longest_lease)
         self._protocol = PlatformProtocol()
 
     async def run(self) -> None:
@@ -97,7 +97,7 @@
         settings = self._settings
         self._log.info("started", node=settings.node.id, zone=settings.node.zone)
         platform_store = PlatformStore(settings.store.address, settings.store.timeout)
-        store = CountedStore(platform_store, self._telemetry)
+        store = InstrumentedStore(platform_store, self._telemetry)
         backend_client = HttpClient(settings.node.ip)
         order_client = HttpClient(settings.node.ip)
         control = ControlHost(
@@ -140,13 +140,15 @@
         self._state.set_allowance(_allowance(settings))
         self._request_log.set_bounds(settings.log)
 
-    def _start_control(self, tasks: TaskGroup, control: ControlHost, store: CountedStore) -> None:
+    def _start_control(
+        self, tasks: TaskGroup, control: ControlHost, store: InstrumentedStore
+    ) -> None:
         watchers = (
             TableWatcher(store, self._configuration_follower()),
             TableWatcher(store, self._backends_follower()),
         )
-        news = StoreNews(watchers, self._settings.node.link)
-        policy = FeedPolicy(steady_clock(), spread_of(self._identity.node_id.encode()))
+        news = TableExchange(watchers, self._settings.node.link)
+        policy = FeedPolicy(steady_clock(), hash_fraction(self._identity.node_id.encode()))
         address = self._identity.peer_address
         zone = self._settings.node.zone
         followers = FollowerConnections(address, zone, control, news, self._timing)
@@ -163,7 +165,7 @@
             tasks.start_soon(watcher.run)
 
     def _start_quarantine(
-        self, tasks: TaskGroup, control: ControlHost, store: CountedStore, link: LeaderLink
+        self, tasks: TaskGroup, control: ControlHost, store: InstrumentedStore, link: LeaderLink
     ) -> None:
         def hears_leader() -> bool:
             return not control.leads and link.hears_leader
@@ -232,7 +234,7 @@
                 else:
                     stop_requested.set()
 
-    async def _log_store_calls(self, store: CountedStore) -> None:
+    async def _log_store_calls(self, store: InstrumentedStore) -> None:
         """Log now and then what was asked of the store; nothing is logged while that is nothing."""
         told: Counter[str] = Counter()
         while True:
--- a/src/limedeck/node/state.py
+++ b/src/limedeck/node/state.py
@@ -100,7 +100,7 @@
 
     def retry_sharers(self, now: Seconds) -> int:
         """Return how many nodes share a retry budget's slack; zero: this one has no part in it."""
-        return self.fleet_size.sharers(self._allowance.window, now)
+        return self.fleet_size.sharing_nodes(self._allowance.window, now)
 
     def service(self, name: str) -> ServiceView:
         """Return what requests for a service share."""
@@ -139,9 +139,9 @@
         if store_silence < LEADER_STORE_SILENCE:
             self.leader_heard_at = now
             self.fleet_size.note(node_count, now)
-        self.directory.note_store_confirmed(store_silence, now)
+        self.directory.record_store_confirmation(store_silence, now)
         if store_silence > UNHEARD_STORE:
-            self.directory.keep_rests(now)
+            self.directory.extend_exit_cooldowns(now)
 
     def is_isolated(self, now: Seconds) -> bool:
         """Whether what this node believes of owners may be long out of date."""
--- a/src/limedeck/node/statement_log.py
+++ b/src/limedeck/node/statement_log.py
@@ -48,8 +48,8 @@
                 backend=event.backend_id,
                 former=event.former.rate if event.former is not None else None,
                 limit=event.statement.rate,
-                source=_source(event.told),
-                age=round(now - event.statement.heard_at, 3),
+                source=_source(event.from_peer),
+                age=round(now - event.statement.received_at, 3),
             )
 
     def _tell_leaving(self, now: Seconds) -> None:
@@ -62,8 +62,8 @@
                 "leaving_changed",
                 backend=event.backend_id,
                 leaves=event.statement.is_leaving,
-                source=_source(event.told),
-                age=round(now - event.statement.heard_at, 3),
+                source=_source(event.from_peer),
+                age=round(now - event.statement.received_at, 3),
             )
 
     def _tell_backoffs(self, now: Seconds) -> None:
@@ -79,7 +79,7 @@
                         backend=backend_id,
                         seconds=round(backoff.requested, 3),
                         left=round(backoff.resume_at - now, 3),
-                        age=round(now - backoff.heard_at, 3),
+                        age=round(now - backoff.received_at, 3),
                     )
                 case backoffs.BackoffEnded(backend_id):
                     self._log.info("rest_ended", backend=backend_id)
--- a/src/limedeck/node/statement_news.py
+++ b/src/limedeck/node/statement_updates.py
@@ -6,13 +6,13 @@
 from typing import Generic, TypeVar
 
 from limedeck.api import control_pb2
-from limedeck.forwarding.statements import Statement, StatementLedger, StatementNews
+from limedeck.forwarding.statements import Statement, StatementLedger, StatementUpdate
 from limedeck.identity import Seconds
 
 S = TypeVar("S", bound=Statement)
 
 
-class StatementNewsPeer(ABC, Generic[S]):
+class StatementUpdatePeer(ABC, Generic[S]):
     """Exchanges one kind of statement with the node at the other end of a connection."""
 
     def __init__(self, ledger: StatementLedger[S]) -> None:
@@ -20,13 +20,13 @@
         self._told = 0
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether there are statements that the other node lacks."""
-        return bool(self._ledger.news_since(self._told, self)[0])
+        return bool(self._ledger.updates_since(self._told, self)[0])
 
     def fill(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Add the statements that the other node lacks."""
-        news, self._told = self._ledger.news_since(self._told, self)
+        news, self._told = self._ledger.updates_since(self._told, self)
         for item in news:
             self._write(message, item, now)
 
@@ -37,7 +37,10 @@
 
     @abstractmethod
     def _write(
-        self, message: control_pb2.Report | control_pb2.Status, news: StatementNews[S], now: Seconds
+        self,
+        message: control_pb2.Report | control_pb2.Status,
+        news: StatementUpdate[S],
+        now: Seconds,
     ) -> None:
         """Add one statement, with ages instead of times since nodes' clocks are not comparable.
 
--- a/src/limedeck/node/suspension.py
+++ b/src/limedeck/node/suspension.py
@@ -59,4 +59,4 @@
         self._telemetry.suspended_seconds.inc(span)
         self._log.warning("suspended", seconds=round(span, 3))
         for client in self._clients:
-            client.end_overdue(steady_clock())
+            client.abort_expired(steady_clock())
--- a/src/limedeck/node/news.py
+++ b/src/limedeck/node/table_exchange.py
@@ -62,7 +62,7 @@
     node_id: str | None = None
 
 
-class StoreNews:
+class TableExchange:
     """Exchanges, with the leader or with all that follow it, what replicas of tables lack.
 
     Parameters
@@ -106,10 +106,10 @@
         for news in told.news:
             watcher = self._watchers.get(news.table)
             if watcher is not None:
-                watcher.handle_news(_decoded(news), now)
+                watcher.handle_update(_decoded(news), now)
         peer.newest = {item.table: item.version for item in told.tables}
         for watcher in self._watchers.values():
-            watcher.handle_told(peer.newest.get(watcher.table, 0), now)
+            watcher.handle_peer_version(peer.newest.get(watcher.table, 0), now)
 
     def _news_for(
         self, table: replica.TableReplica, peer: PeerTables, now: identity.Seconds
@@ -118,7 +118,7 @@
             return None
         told = peer.newest.get(table.table, 0)
         if not peer.keeps_feeds:
-            news = table.news_for(told, now)
+            news = table.update_for(told, now)
             if news is None:
                 return None
             encoded = self._encode(news, told)
@@ -126,16 +126,16 @@
                 return encoded
         if now - peer.since < PATIENCE:
             return None
-        news = table.news_for(told, now - PATIENCE)
+        news = table.update_for(told, now - PATIENCE)
         return self._encode(news, told) if news is not None else None
 
     def _may_tell(self, encoded: control_pb2.TableNews, now: identity.Seconds) -> bool:
         size = len(encoded.entries)
         if size > LARGEST_TOLD:
             return False
-        return not encoded.whole or self._whole_tables.try_take(size, now)
+        return not encoded.whole or self._whole_tables.try_acquire(size, now)
 
-    def _encode(self, news: replica.TableNews, told: int) -> control_pb2.TableNews:
+    def _encode(self, news: replica.TableUpdate, told: int) -> control_pb2.TableNews:
         key = (news.table, told, news.newest, news.whole)
         encoded = self._encoded.get(key)
         if encoded is None:
@@ -154,7 +154,7 @@
         self._left = rate
         self._filled_at: identity.Seconds | None = None
 
-    def try_take(self, size: int, now: identity.Seconds) -> bool:
+    def try_acquire(self, size: int, now: identity.Seconds) -> bool:
         """Take so many bytes, or none if there are too few."""
         if self._filled_at is not None:
             self._left = min(self._left + self._rate * (now - self._filled_at), self._rate)
@@ -192,7 +192,7 @@
             await anyio.sleep(TICK)
 
 
-def _encoded(news: replica.TableNews) -> control_pb2.TableNews:
+def _encoded(news: replica.TableUpdate) -> control_pb2.TableNews:
     entries = control_pb2.TableEntries(
         entries=[
             control_pb2.TableEntry(
@@ -212,7 +212,7 @@
     )
 
 
-def _decoded(news: control_pb2.TableNews) -> replica.TableNews:
+def _decoded(news: control_pb2.TableNews) -> replica.TableUpdate:
     try:
         unpacked = zlib.decompressobj().decompress(news.entries, LARGEST_NEWS)
         told = control_pb2.TableEntries.FromString(unpacked)
@@ -222,4 +222,4 @@
         replica.Entry(entry.key, entry.version, None if entry.dropped else entry.value)
         for entry in told.entries
     )
-    return replica.TableNews(news.table, entries, news.newest, news.whole)
+    return replica.TableUpdate(news.table, entries, news.newest, news.whole)
--- a/src/limedeck/node/watchers.py
+++ b/src/limedeck/node/watchers.py
@@ -18,7 +18,7 @@
 
 
 SHORTEST_PAUSE: identity.Seconds = 0.2
-LONGEST_PAUSE: identity.Seconds = 1.0
+MAX_PAUSE: identity.Seconds = 1.0
 LAG_PATIENCE: identity.Seconds = 0.6
 """Who is behind another node for so long does not wait any more to be told, or for its feed: two
 intervals at which a leader tells."""
@@ -96,20 +96,20 @@
                 self._waiting = None
                 if scope.cancelled_caught:
                     continue
-            except rows.HistoryGone:
+            except rows.HistoryCompacted:
                 self._log.info("history_gone", table=self.table)
                 self._after = None
             except rows.StoreError as exc:
                 self._note_lost(exc)
                 await anyio.sleep(pause)
-                pause = min(pause * 2, LONGEST_PAUSE)
+                pause = min(pause * 2, MAX_PAUSE)
                 continue
             self._note_regained()
             pause = SHORTEST_PAUSE
             await anyio.sleep(self._pause_between_calls())
 
     def _pause_between_calls(self) -> identity.Seconds:
-        if self._feeds is feeds.Feeds.BRIEF:
+        if self._feeds is feeds.Feeds.TEMPORARY:
             return max(self._follower.joining, self._brief_pause)
         return self._follower.joining
 
@@ -136,7 +136,7 @@
             self._after = self.replica.newest if self.replica.is_complete else None
             self._awake()
 
-    def handle_told(self, newest: int, now: identity.Seconds) -> None:
+    def handle_peer_version(self, newest: int, now: identity.Seconds) -> None:
         """Another node has seen a change of this version.
 
         Without a feed that node tells what is new, and only if it does not the table is read. A
@@ -166,10 +166,10 @@
         elif self._waiting is not None:
             self._waiting.cancel()
 
-    def handle_news(self, news: replica.TableNews, now: identity.Seconds) -> None:
+    def handle_update(self, news: replica.TableUpdate, now: identity.Seconds) -> None:
         """Another node tells what this one's replica lacks."""
         before = self.replica.newest
-        self.replica.take_news(news, now)
+        self.replica.apply_update(news, now)
         if news.whole:
             self._follower.complete()
         if self.replica.newest > before:
@@ -190,20 +190,20 @@
             await self._read_whole()
             return
         wait = self._follower.feed_wait
-        if self._feeds is feeds.Feeds.BRIEF:
+        if self._feeds is feeds.Feeds.TEMPORARY:
             wait = min(wait, BRIEF_WAIT)
         changes = await self._store.changes(self.table, self._after, wait)
         entries = [replica.Entry(row.key, row.version, row.value) for row in changes.rows]
         entries += [replica.Entry(row.key, row.version, None) for row in changes.dropped]
         entries.sort(key=lambda entry: entry.version)
-        self.replica.take_changes(entries, replica.Source.STORE, clock.steady_clock())
+        self.replica.apply_changes(entries, replica.Source.STORE, clock.steady_clock())
         self._after = changes.version
 
     async def _read_whole(self) -> None:
         found = await self._store.read(self.table)
         entries = [replica.Entry(row.key, row.version, row.value) for row in found.rows]
         now = clock.steady_clock()
-        self.replica.take_whole(entries, found.version, replica.Source.STORE, now)
+        self.replica.apply_snapshot(entries, found.version, replica.Source.STORE, now)
         self._after = found.version
         self._wanted = False
         self._follower.complete()
--- a/src/limedeck/ownership/balancing.py
+++ b/src/limedeck/ownership/balancing.py
@@ -45,7 +45,7 @@
         self._limits = PlannedLimits()
         self._settled_until: dict[int, Seconds] = {}
 
-    def note_requests(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
+    def record_requests(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
         """A node tells how many requests it had by key."""
         counted = list(counts)
         for load in (self._recent_load, self.load, self._lasting_load):
--- a/src/limedeck/ownership/barriers.py
+++ b/src/limedeck/ownership/barriers.py
@@ -14,11 +14,11 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from limedeck.identity import NEVER, Seconds, is_later_life, name_and_start
+from limedeck.identity import NEVER, Seconds, is_later_incarnation, split_incarnation_id
 from limedeck.ownership.fences import FenceCounter
 from limedeck.ownership.orders import Release
 
-RETRY: Seconds = 0.5
+BARRIER_RETRY_INTERVAL: Seconds = 0.5
 """A barrier without an answer is asked for again after so long; it gets no keys meanwhile."""
 
 
@@ -64,9 +64,9 @@
 
     def is_replaced(self, backend_id: str) -> bool:
         """Whether a later life of it, which is listed, refuses what was meant for this one."""
-        name, _ = name_and_start(backend_id)
+        name, _ = split_incarnation_id(backend_id)
         answered = self._answered.get(name)
-        return answered is not None and is_later_life(answered, backend_id)
+        return answered is not None and is_later_incarnation(answered, backend_id)
 
     def due(self, now: Seconds) -> list[Release]:
         """Return the orders that are to be sent now."""
@@ -86,9 +86,9 @@
             return False
         if done:
             del self._missing[order.backend_id]
-            name, _ = name_and_start(order.backend_id)
+            name, _ = split_incarnation_id(order.backend_id)
             self._answered[name] = order.backend_id
         else:
             barrier.is_pending = False
-            barrier.next_order = now + RETRY
+            barrier.next_order = now + BARRIER_RETRY_INTERVAL
         return True
--- a/src/limedeck/ownership/standing.py
+++ b/src/limedeck/ownership/candidate_priority.py
@@ -35,14 +35,14 @@
     strong_count: int = 1
 
 
-def fleet_of(processors: list[float]) -> Fleet:
+def describe_fleet(processors: list[float]) -> Fleet:
     """Describe nodes by the cores that each may use."""
     strongest = max(processors)
     strong = sum(item >= STRONG_PART * strongest for item in processors)
     return Fleet(len(processors), strongest, strong)
 
 
-class Standing:
+class CandidatePriority:
     """One node's turn.
 
     Parameters
@@ -79,5 +79,5 @@
         fleet = self.fleet
         if self._processor >= STRONG_PART * fleet.strongest:
             return staggering.delay(place, fleet.strong_count)
-        after_strong = staggering.delay(1.0, fleet.strong_count) + staggering.STEP
+        after_strong = staggering.delay(1.0, fleet.strong_count) + staggering.STAGGER_INTERVAL
         return after_strong + staggering.delay(place, fleet.node_count)
--- a/src/limedeck/ownership/commands.py
+++ b/src/limedeck/ownership/commands.py
@@ -6,7 +6,7 @@
 
 from limedeck.api.control_pb2 import AssignmentRecord
 from limedeck.ownership.orders import Grant, Release
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,4 +42,4 @@
     last: int
     former: str
     owner: str
-    cause: Cause
+    cause: OwnerChangeCause
--- a/src/limedeck/ownership/election.py
+++ b/src/limedeck/ownership/election.py
@@ -12,7 +12,7 @@
 
 from limedeck.api.control_pb2 import FormerLeader, LeaderRecord
 from limedeck.identity import NEVER, Seconds
-from limedeck.ownership import standing
+from limedeck.ownership import candidate_priority
 from limedeck.ownership.timing import OwnershipTiming
 
 RETRY_INTERVAL: Seconds = 0.25
@@ -38,7 +38,7 @@
     NO_RECORD = "no-record"
     SILENT = "silent"
     DENIED = "denied"
-    MISSES_STORE = "misses-store"
+    STORE_UNREACHABLE = "misses-store"
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderSeen:
+class LeaderReadResult:
     """Event: the leader's rows were read.
 
     Parameters
@@ -133,7 +133,7 @@
         processor: float = 1.0,
         first_start: bool = True,
     ) -> None:
-        self._standing = standing.Standing(processor, timing.weakness_delay)
+        self._standing = candidate_priority.CandidatePriority(processor, timing.weakness_delay)
         self.role = Role.FOLLOWER
         self.record: LeaderRecord | None = None
         self.row_version = 0
@@ -188,7 +188,7 @@
         is_confirmed = self.store_silence(now) < self._timing.stale_confirmation
         return self.role is Role.LEADER and long_enough and is_confirmed
 
-    def stands_aside(self, now: Seconds) -> bool:
+    def is_ineligible(self, now: Seconds) -> bool:
         """Whether this node has given up leading: for a while, or because it is about to stop."""
         return self._stops or now < self._rests_until
 
@@ -202,7 +202,7 @@
         term: int,
         store_silence: Seconds,
         now: Seconds,
-        fleet: standing.Fleet | None = None,
+        fleet: candidate_priority.Fleet | None = None,
     ) -> None:
         """The leader was heard; it tells how long the store has not confirmed it."""
         if term < self.term:
@@ -231,7 +231,7 @@
         if resigned or incarnation != self.record.incarnation:
             self._denied = True
 
-    def handle_told(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
+    def handle_peer_record(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
         """Another node told which record it has read."""
         if record.term <= self.term or row_version <= self.row_version:
             return
@@ -240,7 +240,7 @@
         self._note_new_term(now)
         self._settle_role(now)
 
-    def handle_seen(self, seen: LeaderSeen, now: Seconds) -> None:
+    def handle_leader_read(self, seen: LeaderReadResult, now: Seconds) -> None:
         """The leader's rows were read, or a write showed them."""
         self._busy = False
         self._failures = 0
@@ -262,7 +262,7 @@
         self._denied = False
         self._leader_misses_store = False
 
-    def handle_won(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
+    def handle_elected(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
         """The store took this node's record."""
         self._busy = False
         self._failures = 0
@@ -280,7 +280,7 @@
         self._failures = 0
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
-    def handle_no_answer(self, now: Seconds) -> None:
+    def handle_store_failure(self, now: Seconds) -> None:
         """A call to the store failed; whether it did anything is unknown."""
         self._busy = False
         self._age = None
@@ -296,7 +296,7 @@
             item for item in self.record.former if (item.incarnation, item.term) not in self._over
         ]
 
-    def handle_former_over(self, former: FormerLeader) -> None:
+    def handle_former_leader_ended(self, former: FormerLeader) -> None:
         """A former leader's process has ended or says that it leads that term no more."""
         self._over.add((former.incarnation, former.term))
 
@@ -318,7 +318,7 @@
         self._stops = True
         self.role = Role.FOLLOWER
 
-    def yield_office(self, now: Seconds) -> None:
+    def yield_leadership(self, now: Seconds) -> None:
         """Lead no more, and let others stand first: they may reach what this node does not."""
         self.role = Role.FOLLOWER
         self._denied = True
@@ -342,11 +342,11 @@
             self._denied_since = None
         if why is None or not self._may_stand(why, now):
             return None
-        freshness = RESIGNED_WAIT if self.stands_aside(now) else FRESH_READING
+        freshness = RESIGNED_WAIT if self.is_ineligible(now) else FRESH_READING
         if now - self._age_read_at > freshness:
             self._next_call = now + RETRY_INTERVAL
             return ReadLeader(why)
-        if not self.stands_aside(now) and self._may_replace(why, now):
+        if not self.is_ineligible(now) and self._may_replace(why, now):
             self._age_read_at = NEVER
             return Campaign(self._candidacy(why), self.row_version, why)
         return None
@@ -359,7 +359,7 @@
         if now - self._heard_at > self._timing.leader_silence + self._spread():
             return Suspicion.SILENT
         if self._leader_misses_store:
-            return Suspicion.MISSES_STORE
+            return Suspicion.STORE_UNREACHABLE
         return None
 
     def _may_stand(self, why: Suspicion, now: Seconds) -> bool:
@@ -375,7 +375,7 @@
             self._denied_since = now
             self._age_read_at = NEVER
         own_turn = self._spread() + self._standing.handicap
-        wait = RESIGNED_WAIT if self.stands_aside(now) else own_turn
+        wait = RESIGNED_WAIT if self.is_ineligible(now) else own_turn
         return now >= self._denied_since + wait
 
     def _may_replace(self, why: Suspicion, now: Seconds) -> bool:
@@ -399,7 +399,7 @@
             self.record.node_id == self._identity.node_id
             and self.record.incarnation == self._identity.incarnation
         )
-        is_willing = not self._denied and not self.stands_aside(now)
+        is_willing = not self._denied and not self.is_ineligible(now)
         may_lead = is_willing and self.term >= self._heard_term
         if mine and may_lead and self.role is Role.FOLLOWER:
             self.role = Role.LEADER
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -67,7 +67,7 @@
     answered_at: Seconds = NEVER
 
 
-def with_aged_times(
+def with_decayed_service_times(
     totals: Sequence[BackendTotal], services: Mapping[int, str], now: Seconds
 ) -> list[BackendTotal]:
     """Return totals in which old service times have come nearer to the fresh ones of their service.
@@ -108,7 +108,7 @@
         self._service_times: dict[int, Seconds] = {}
         self._answered_at: dict[int, Seconds] = {}
 
-    def begin_with(self, service_times: Mapping[int, Seconds], now: Seconds) -> None:
+    def initialize(self, service_times: Mapping[int, Seconds], now: Seconds) -> None:
         """Go on from what this node was told by the leader before it, or has seen itself."""
         for backend, known in service_times.items():
             self._service_times.setdefault(backend, known)
--- a/src/limedeck/ownership/lending.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from limedeck.forwarding.permits import NoPermit, PermitAnswer, PermitAsk, PermitLender
+from limedeck.forwarding.permits import NoPermit, PermitIssuer, PermitRequest, PermitResponse
 from limedeck.identity import Seconds
 from limedeck.ownership.election import ElectionCore, Role
 
 UNHEARD_PAUSE: Seconds = 0.3
 """Without a leader's answer a node asks again after so long: about the time of an election."""
-UNHEARD = NoPermit(UNHEARD_PAUSE)
+NO_LEADER_RESPONSE = NoPermit(UNHEARD_PAUSE)
 """What is assumed without a leader's answer."""
 
 
-class Lending:
+class LeaderPermitIssuer:
     """Lends permits while this node leads, as far as it knows."""
 
     def __init__(self, election: ElectionCore) -> None:
         self._election = election
-        self._lender: PermitLender | None = None
+        self._lender: PermitIssuer | None = None
         self._term = 0
 
     @property
@@ -31,11 +31,11 @@
             self._lender = None
             return
         if self._lender is None or self._term != self._election.term:
-            self._lender = PermitLender(now)
+            self._lender = PermitIssuer(now)
             self._term = self._election.term
         self._lender.forget_old(now)
 
-    def answer(self, ask: PermitAsk, known: float | None, now: Seconds) -> PermitAnswer:
+    def issue(self, request: PermitRequest, known: float | None, now: Seconds) -> PermitResponse:
         """Lend a permit, if there is room.
 
         Parameters
@@ -45,5 +45,5 @@
         """
         is_in_office = self.leads and self._term == self._election.term
         if self._lender is None or not is_in_office:
-            return UNHEARD
-        return self._lender.answer(ask, known, self._election.store_silence(now), now)
+            return NO_LEADER_RESPONSE
+        return self._lender.issue(request, known, self._election.store_silence(now), now)
--- a/src/limedeck/ownership/outliers.py
+++ b/src/limedeck/ownership/outliers.py
@@ -30,7 +30,7 @@
 """The first exclusion; each further one is twice as long."""
 LONGEST_EXCLUSION: Seconds = 6.0
 """Faults of back ends that were seen last for some 5 s; longer ones keep sound back ends idle."""
-QUEUE_FOR_EACH_SLOT = 2.0
+OVERLOAD_REQUESTS_PER_SLOT = 2.0
 """Requests for each slot from which a back end is overloaded: as many wait as it works on. A hot
 spot's owner has five for each slot and resets what comes beyond (docs/policy/large-fleets.md)."""
 LONGEST_SILENCE: Seconds = 1.0
--- a/src/limedeck/ownership/silence.py
+++ b/src/limedeck/ownership/owner_liveness.py
@@ -48,31 +48,31 @@
         """It gets keys: its silence counts from the first order that it gets as their owner."""
         self._asked_at.pop(backend_id, None)
 
-    def note_answered(self, backend_id: str, answered_at: Seconds) -> None:
+    def record_last_response(self, backend_id: str, answered_at: Seconds) -> None:
         """A node told at this time that the back end had answered a request."""
         self._answered_at[backend_id] = answered_at
 
-    def asked_at(self, backend_id: str) -> Seconds | None:
+    def requested_at(self, backend_id: str) -> Seconds | None:
         """When the first order without an answer was sent; None if there is none."""
         return self._asked_at.get(backend_id)
 
     def is_silent(self, backend_id: str, now: Seconds) -> bool:
         """Whether it has answered no order for so long that it loses its keys."""
-        asked_at = self._asked_at.get(backend_id)
-        return asked_at is not None and now - asked_at > self._timing.holder_silence
+        requested_at = self._asked_at.get(backend_id)
+        return requested_at is not None and now - requested_at > self._timing.holder_silence
 
     def is_unheard(self, backend_id: str, now: Seconds) -> bool:
         """Whether two orders and more to it are without an answer."""
-        asked_at = self._asked_at.get(backend_id)
-        return asked_at is not None and now - asked_at >= self._timing.loss_silence
+        requested_at = self._asked_at.get(backend_id)
+        return requested_at is not None and now - requested_at >= self._timing.loss_silence
 
     def is_lost(self, backend_id: str, now: Seconds) -> bool:
         """Whether neither this node nor, as far as it heard, any other one is answered there."""
-        asked_at = self._asked_at.get(backend_id)
-        if asked_at is None:
+        requested_at = self._asked_at.get(backend_id)
+        if requested_at is None:
             return False
         # Nodes that have not connected to a new leader yet tell it nothing.
-        since = max(asked_at, self._opened_at + self._timing.following)
+        since = max(requested_at, self._opened_at + self._timing.following)
         if now - since < self._timing.loss_silence:
             return False
         return not self._answers_others(backend_id, since)
@@ -102,8 +102,8 @@
             self._asked_at.pop(backend_id, None)
 
     def _answers_only_others(self, backend_id: str, now: Seconds) -> bool:
-        asked_at = self._asked_at.get(backend_id, NEVER)
-        return self.is_unheard(backend_id, now) and self._answers_others(backend_id, asked_at)
+        requested_at = self._asked_at.get(backend_id, NEVER)
+        return self.is_unheard(backend_id, now) and self._answers_others(backend_id, requested_at)
 
     def _answers_others(self, backend_id: str, since: Seconds) -> bool:
         """Whether a node was surely answered there after this moment."""
--- a/src/limedeck/ownership/planned_limits.py
+++ b/src/limedeck/ownership/planned_limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from limedeck.forwarding.permits import LEAST_RATE
+from limedeck.forwarding.permits import MIN_RATE
 from limedeck.identity import Seconds
 
 RISE_PATIENCE: Seconds = 5.0
@@ -40,7 +40,7 @@
     def capacity(self, backend_id: str, unlimited: float) -> float:
         """Return the requests a second that a back end bears, of those it could work on."""
         planned = self._planned.get(backend_id)
-        return unlimited if planned is None else min(unlimited, max(planned.rate, LEAST_RATE))
+        return unlimited if planned is None else min(unlimited, max(planned.rate, MIN_RATE))
 
     def _next(self, planned: _Planned | None, limit: float | None, now: Seconds) -> _Planned | None:
         if planned is None or (limit is not None and limit <= planned.rate):
--- a/src/limedeck/ownership/ranges.py
+++ b/src/limedeck/ownership/ranges.py
@@ -26,7 +26,7 @@
     FREE = "free"
 
 
-class Cause(enum.Enum):
+class OwnerChangeCause(enum.Enum):
     """Why a range changes its owner."""
 
     FIRST = "first"
@@ -75,7 +75,7 @@
     order_pending: bool = False
     handover: str = ""
     target: str = NO_OWNER
-    cause: Cause = Cause.FIRST
+    cause: OwnerChangeCause = OwnerChangeCause.FIRST
 
     @property
     def size(self) -> int:
@@ -94,7 +94,7 @@
         An owner that is silent may have its keys yet; one that leaves, or is relieved, gives them
         up with its answer.
         """
-        if self.phase is Phase.RELEASING and self.cause is not Cause.SILENT:
+        if self.phase is Phase.RELEASING and self.cause is not OwnerChangeCause.SILENT:
             return NO_OWNER
         if self.phase is Phase.FREE or self.confirmed_until == NEVER:
             return NO_OWNER
--- a/src/limedeck/ownership/releasing.py
+++ b/src/limedeck/ownership/releasing.py
@@ -7,10 +7,12 @@
 from limedeck.identity import NEVER, Seconds
 from limedeck.ownership.fences import FenceCounter
 from limedeck.ownership.orders import Release
-from limedeck.ownership.ranges import Cause, Phase, RangeState
+from limedeck.ownership.ranges import OwnerChangeCause, Phase, RangeState
 
 
-def begin_release(found: RangeState, cause: Cause, target: str, fences: FenceCounter) -> None:
+def begin_release(
+    found: RangeState, cause: OwnerChangeCause, target: str, fences: FenceCounter
+) -> None:
     """Take a range from its owner, to give it to another one if `target` names it."""
     found.phase = Phase.RELEASING
     found.cause = cause
--- a/src/limedeck/ownership/renewal.py
+++ b/src/limedeck/ownership/renewal.py
@@ -4,8 +4,8 @@
 
 from limedeck.identity import Seconds
 from limedeck.ownership.orders import Grant
+from limedeck.ownership.owner_liveness import OwnerSilence
 from limedeck.ownership.ranges import RangeState
-from limedeck.ownership.silence import OwnerSilence
 from limedeck.ownership.timing import OwnershipTiming
 
 
@@ -58,8 +58,8 @@
 
         Keys of an owner that is gone wait for the end of every grant that it may have taken.
         """
-        asked_at = self._silence.asked_at(owner)
-        if asked_at is None:
+        requested_at = self._silence.requested_at(owner)
+        if requested_at is None:
             return self._timing.lease
-        time_left = asked_at + self._timing.longest_lease - now
+        time_left = requested_at + self._timing.longest_lease - now
         return max(self._timing.duration_within(time_left), self._timing.shortest_grant)
--- a/src/limedeck/ownership/service.py
+++ b/src/limedeck/ownership/service.py
@@ -17,9 +17,9 @@
 from collections.abc import Iterable, Mapping
 
 from limedeck.api.control_pb2 import AssignmentRecord
-from limedeck.forwarding.availability import LEAVING_OWNER_STOP
-from limedeck.forwarding.owners import OwnedRange, joined
-from limedeck.identity import NEVER, Seconds, is_later_life
+from limedeck.forwarding.availability import LEAVING_OWNER_GRACE
+from limedeck.forwarding.owners import OwnedRange, merge_adjacent
+from limedeck.identity import NEVER, Seconds, is_later_incarnation
 from limedeck.model import Backend
 from limedeck.ownership.balancing import LoadBalance
 from limedeck.ownership.barriers import Barriers
@@ -27,13 +27,13 @@
 from limedeck.ownership.fences import FenceCounter
 from limedeck.ownership.key_load import KeyLoad
 from limedeck.ownership.orders import Grant, Release
+from limedeck.ownership.owner_liveness import OwnerSilence
 from limedeck.ownership.planning import PlannedMove, first_assignment, least_loaded
 from limedeck.ownership.range_map import RangeMap
-from limedeck.ownership.ranges import NO_OWNER, Cause, Phase, RangeState
+from limedeck.ownership.ranges import NO_OWNER, OwnerChangeCause, Phase, RangeState
 from limedeck.ownership.recording import Choice, OwnerRecord
 from limedeck.ownership.releasing import begin_release, due_releases, end_release
 from limedeck.ownership.renewal import Renewals
-from limedeck.ownership.silence import OwnerSilence
 from limedeck.ownership.timing import OwnershipTiming
 
 
@@ -164,8 +164,8 @@
         for found in self._map.within(order):
             found.order_pending = False
             found.next_order = now
-            if found.phase is Phase.RELEASING and found.cause is Cause.BALANCE:
-                found.cause = Cause.SILENT
+            if found.phase is Phase.RELEASING and found.cause is OwnerChangeCause.BALANCE:
+                found.cause = OwnerChangeCause.SILENT
                 found.target = NO_OWNER
                 self._silence.avoid(order.backend_id, now)
 
@@ -188,7 +188,7 @@
         else:
             self.fenced_off = True
 
-    def handle_former_leaders_over(self, now: Seconds) -> None:
+    def handle_former_leaders_ended(self, now: Seconds) -> None:
         """No earlier leader can have sent a grant after now."""
         if self._alone:
             return
@@ -197,9 +197,9 @@
         for item in self.ranges:
             item.held_until = min(item.held_until, latest)
 
-    def note_requests(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
+    def record_requests(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
         """A node tells how many requests it had by key."""
-        self._balance.note_requests(counts, now)
+        self._balance.record_requests(counts, now)
 
     def set_service_time(self, backend_id: str, service_time: Seconds) -> None:
         """All nodes' answers tell how long a back end works on one request."""
@@ -209,9 +209,9 @@
         """Back ends in need take so many requests a second from all nodes together."""
         self._balance.set_limits(limits, now)
 
-    def note_answered(self, backend_id: str, answered_at: Seconds) -> None:
+    def record_last_response(self, backend_id: str, answered_at: Seconds) -> None:
         """A node told at this time that the back end had answered a request."""
-        self._silence.note_answered(backend_id, answered_at)
+        self._silence.record_last_response(backend_id, answered_at)
 
     def set_failing(self, backend_ids: Iterable[str]) -> None:
         """These fail more often than the others; their keys go to others as long as there are."""
@@ -255,7 +255,7 @@
         for planned in moves:
             found = self._map.isolate(planned.first, planned.last)
             if found is not None and found.phase is Phase.OWNED:
-                begin_release(found, Cause.BALANCE, planned.target, self._fences)
+                begin_release(found, OwnerChangeCause.BALANCE, planned.target, self._fences)
 
     def _tick_range(self, found: RangeState, may_renew: bool, now: Seconds) -> None:
         if found.phase is Phase.OWNED:
@@ -269,29 +269,29 @@
         elif found.phase is Phase.RELEASING and self._is_given_up(found, now):
             end_release(found, found.handover, now)
 
-    def _reason_to_move(self, found: RangeState, now: Seconds) -> Cause | None:
+    def _reason_to_move(self, found: RangeState, now: Seconds) -> OwnerChangeCause | None:
         owner = self._backends.get(found.owner)
         if owner is None and self._has_begun_again(found.owner):
             # A grant would reach the later life, which is to take none that was meant for this one.
-            return Cause.LEAVING
+            return OwnerChangeCause.LEAVING
         if owner is None or owner.draining:
             may_leave = self._may_move or self._has_drained(found.owner, now)
-            return Cause.LEAVING if may_leave and self._candidates(now) else None
+            return OwnerChangeCause.LEAVING if may_leave and self._candidates(now) else None
         if self._silence.is_silent(found.owner, now) and not self.doubts_itself:
             self._silence.avoid(found.owner, now)
-            return Cause.SILENT
+            return OwnerChangeCause.SILENT
         is_failing = found.owner in self._failing and found.owner not in self._candidates(now)
         if is_failing and self._may_move:
-            return Cause.FAILING
+            return OwnerChangeCause.FAILING
         return None
 
     def _has_drained(self, owner: str, now: Seconds) -> bool:
         """Whether a leaving owner no longer receives requests, or its entry is gone."""
         since = self._draining_since.get(owner, NEVER)
-        return now - since >= LEAVING_OWNER_STOP
+        return now - since >= LEAVING_OWNER_GRACE
 
     def _has_begun_again(self, owner: str) -> bool:
-        return any(is_later_life(item, owner) for item in self._backends)
+        return any(is_later_incarnation(item, owner) for item in self._backends)
 
     def _is_given_up(self, found: RangeState, now: Seconds) -> bool:
         """Whether its owner surely holds it no more, though it has not answered.
@@ -377,13 +377,13 @@
 
     def published(self, now: Seconds) -> tuple[OwnedRange, ...]:
         """Owners that requests may be sent to; `version` rises when they change."""
-        ranges = joined(self._visible_range(item, now) for item in self.ranges)
+        ranges = merge_adjacent(self._visible_range(item, now) for item in self.ranges)
         if ranges != self._published:
             self._published = ranges
             self.version += 1
         return self._published
 
-    def unheard_owners(self, now: Seconds) -> int:
+    def unresponsive_owners(self, now: Seconds) -> int:
         """Owners that have left an order unanswered for a while, for logs."""
         owners = {item.owner for item in self.ranges if item.owner}
         return sum(self._silence.is_unheard(owner, now) for owner in owners)
--- a/src/limedeck/ownership/timing.py
+++ b/src/limedeck/ownership/timing.py
@@ -114,7 +114,7 @@
 RENEWALS_IN_A_LEASE = 4
 
 
-def timing_within(longest_lease: Seconds) -> OwnershipTiming:
+def timing_for_longest_lease(longest_lease: Seconds) -> OwnershipTiming:
     """Return the times for back ends that take no lease above `longest_lease`, in seconds."""
     usual = OwnershipTiming()
     if longest_lease >= usual.lease:
--- a/src/limedeck/platform/headers.py
+++ b/src/limedeck/platform/headers.py
@@ -4,7 +4,7 @@
 
 import re
 
-from limedeck.forwarding.protocol import AnswerFacts, CallerProtocol, Headers, LoadReport
+from limedeck.forwarding.protocol import CallerProtocol, Headers, LoadReport, ResponseMetadata
 from limedeck.identity import Seconds
 
 REQUEST_ID = b"x-attempt-id"
@@ -48,17 +48,17 @@
         left = max(int(time_left * MILLISECONDS), 1)
         return [(DEADLINE, b"%d" % left), (EXPECTED_INSTANCE, instance.encode())]
 
-    def answer_facts(self, status: int, headers: Headers) -> AnswerFacts:
+    def response_metadata(self, status: int, headers: Headers) -> ResponseMetadata:
         found = dict(headers)
         load = _load(found.get(LOAD))
         limits = {value.strip() for name, value in headers if name == LIMIT}
         limit = _limit(limits)
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=found.get(REQUEST_ID),
             not_run=NOT_RUN in found or status == MISDIRECTED,
             wrong_instance=status == MISDIRECTED,
             load=load,
-            credible=status >= FIRST_FAILURE or SIGNATURE in found,
+            is_from_backend=status >= FIRST_FAILURE or SIGNATURE in found,
             unreadable_load=load is None and LOAD in found,
             limit=limit,
             unreadable_limit=limit is None and bool(limits),
@@ -99,6 +99,6 @@
     running, waiting, slots = parts[:LOAD_FIGURES]
     if running is None or waiting is None or slots is None:
         return None
-    pace = parts[LOAD_FIGURES] if len(parts) > LOAD_FIGURES else None
+    slowdown = parts[LOAD_FIGURES] if len(parts) > LOAD_FIGURES else None
     # What cannot be read of the later figures does not cost the first ones.
-    return LoadReport(int(running), int(waiting), int(slots), (pace or USUAL_PACE) / USUAL_PACE)
+    return LoadReport(int(running), int(waiting), int(slots), (slowdown or USUAL_PACE) / USUAL_PACE)
--- a/src/limedeck/platform/messages.py
+++ b/src/limedeck/platform/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from limedeck.errors import PlatformProtocolError
-from limedeck.identity import Seconds, life_id
+from limedeck.identity import Seconds, incarnation_id
 from limedeck.model import Backend, CallerLimits, Configuration, Route, Service, Target
 
 CONFIGURATION_TABLE = "op"
@@ -132,7 +132,7 @@
     except msgspec.DecodeError as error:
         raise PlatformProtocolError(f"entry of {key}", str(error)) from error
     return Backend(
-        backend_id=life_id(key, found.born),
+        backend_id=incarnation_id(key, found.born),
         instance=key,
         service=found.info.backend,
         address=found.address,
