--- a/src/limedeck/platform/store.py
+++ b/src/limedeck/platform/store.py
@@ -15,7 +15,7 @@
 from limedeck.store.rows import (
     ConditionFailed,
     DroppedRow,
-    HistoryGone,
+    HistoryCompacted,
     RowCondition,
     RowKey,
     RowStore,
@@ -26,7 +26,7 @@
     StoreUnavailable,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 MILLISECONDS = 1000
@@ -92,7 +92,7 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         body = {
             "expected_revision": [{**_names(c.row), "ver": c.version} for c in conditions],
             "put": [{**_names(w.row), "value": w.value} for w in writes if w.value is not None],
@@ -102,13 +102,13 @@
         found = _decoded(answer)
         if answer.status == CONDITION_FAILED:
             raise ConditionFailed(tuple(_stored(row) for row in found.rows if row.ver))
-        return Written(found.ver, found.now_s)
+        return WriteResult(found.ver, found.now_s)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
         query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MILLISECONDS))}
         answer = await self._call("GET", "/v1/rows-feed", query, timeout=wait + self._timeout)
         if answer.status == HISTORY_GONE:
-            raise HistoryGone
+            raise HistoryCompacted
         found = _decoded(answer)
         return TableChanges(
             rows=tuple(_stored(row) for row in found.rows if not row.gone),
@@ -126,7 +126,7 @@
         query: dict[str, str],
         body: bytes | None = None,
         timeout: Seconds | None = None,
-    ) -> http_client.HttpAnswer:
+    ) -> http_client.HttpResponse:
         headers = [(b"host", self._address.encode())]
         if body is not None:
             headers.append((b"content-type", b"application/json"))
@@ -153,7 +153,7 @@
     return StoredRow(row.table, row.part, row.key_file, row.value, row.ver)
 
 
-def _decoded(answer: http_client.HttpAnswer) -> _Rows:
+def _decoded(answer: http_client.HttpResponse) -> _Rows:
     try:
         return msgspec.json.decode(answer.body, type=_Rows)
     except msgspec.DecodeError as error:
--- a/src/limedeck/routing/backends.py
+++ b/src/limedeck/routing/backends.py
@@ -10,8 +10,8 @@
 from limedeck.keyspace.hashing import rendezvous_weight
 
 FAILURES_TO_EJECT = 3
-EJECTION_TIME: Seconds = 1.0
-LONGEST_EJECTION: Seconds = 30.0
+BASE_EJECTION_TIME: Seconds = 1.0
+MAX_EJECTION_TIME: Seconds = 30.0
 LATENCY_SMOOTHING = 0.2
 SLOW_START_TIME: Seconds = 5.0
 SLOW_START_WEIGHT = 0.2
@@ -42,7 +42,7 @@
     first_seen_at: Seconds = NEVER
     latency: Seconds = 0.0
 
-    def note_answer(self, took: Seconds) -> None:
+    def record_response(self, took: Seconds) -> None:
         """An attempt ended with an answer."""
         self.failures = 0
         self.ejections = 0
@@ -51,13 +51,13 @@
         else:
             self.latency += LATENCY_SMOOTHING * (took - self.latency)
 
-    def note_failure(self, now: Seconds) -> None:
+    def record_failure(self, now: Seconds) -> None:
         """An attempt ended without an answer, or with a refusal for want of capacity."""
         self.failures += 1
         if self.failures < FAILURES_TO_EJECT:
             return
         self.failures = 0
-        span = min(EJECTION_TIME * 2.0**self.ejections, LONGEST_EJECTION)
+        span = min(BASE_EJECTION_TIME * 2.0**self.ejections, MAX_EJECTION_TIME)
         self.ejections += 1
         self.ejected_until = now + span
 
--- a/src/limedeck/routing/outcomes.py
+++ b/src/limedeck/routing/outcomes.py
@@ -112,7 +112,7 @@
     """
 
     repeatable: bool
-    maybe_run: bool
+    may_have_run: bool
     time_left: bool
     budget_left: bool
 
@@ -134,6 +134,6 @@
     may_retry = history.time_left and history.budget_left
     if may_retry and (surely_not_run or history.repeatable):
         return Decision.RETRY
-    if surely_not_run and not history.maybe_run:
+    if surely_not_run and not history.may_have_run:
         return Decision.ANSWER_NOT_RUN
     return Decision.ANSWER_UNKNOWN
--- a/src/limedeck/routing/request.py
+++ b/src/limedeck/routing/request.py
@@ -22,9 +22,9 @@
 from limedeck.routing.route_table import RouteTable
 from limedeck.routing.rules import RequestTarget
 
-SHORTEST_ATTEMPT: Seconds = 0.002
+MIN_ATTEMPT_TIME: Seconds = 0.002
 """An attempt is not begun with less time than this before the deadline."""
-RETRY_PAUSE: Seconds = 0.02
+RETRY_DELAY: Seconds = 0.02
 """Before the same owner is asked again."""
 RETRY_AFTER: Seconds = 1.0
 RETRY_TOKENS_PER_REQUEST = 0.1
@@ -43,7 +43,7 @@
     BACKEND_UNREACHABLE = "backend-unreachable"
     BACKEND_REFUSED = "backend-refused"
     DEADLINE_EXCEEDED = "deadline-exceeded"
-    ANSWER_LOST = "answer-lost"
+    RESPONSE_LOST = "answer-lost"
 
 
 @dataclass(frozen=True)
@@ -95,7 +95,7 @@
         self._tokens = RETRY_RESERVE
         self._refilled_at: Seconds | None = None
 
-    def note_request(self, now: Seconds) -> None:
+    def record_request(self, now: Seconds) -> None:
         """A request came in."""
         elapsed = now - self._refilled_at if self._refilled_at is not None else 0.0
         self._refilled_at = now
@@ -178,7 +178,7 @@
 
     def next_command(self, now: Seconds) -> RequestCommand:
         """Decide what to do next: at the start, and after a `Wait`."""
-        if now + SHORTEST_ATTEMPT >= self.deadline:
+        if now + MIN_ATTEMPT_TIME >= self.deadline:
             return self._give_up(RefusalReason.DEADLINE_EXCEEDED)
         if self.target.place is None:
             return self._try_any(now)
@@ -200,8 +200,8 @@
         self._in_flight = None
         history = AttemptHistory(
             repeatable=self.target.repeatable,
-            maybe_run=self._maybe_run,
-            time_left=now + SHORTEST_ATTEMPT < self.deadline,
+            may_have_run=self._maybe_run,
+            time_left=now + MIN_ATTEMPT_TIME < self.deadline,
             budget_left=not_owner or self._budget.has_tokens,
         )
         decision = decide(phase, history)
@@ -216,7 +216,7 @@
     def _exclude(self, attempt: Attempt, now: Seconds) -> None:
         self._excluded.add(attempt.backend.backend_id)
         self._stale_version = attempt.route_version
-        self._not_before = now + RETRY_PAUSE
+        self._not_before = now + RETRY_DELAY
 
     def _try_owner(self, now: Seconds) -> RequestCommand:
         place = self.target.place
@@ -253,7 +253,7 @@
     def _wait(self, now: Seconds, reason: RefusalReason) -> RequestCommand:
         if now >= self._wait_end:
             return self._give_up(reason)
-        pause = max(self._not_before - now, RETRY_PAUSE)
+        pause = max(self._not_before - now, RETRY_DELAY)
         return Wait(min(now + pause, self._wait_end))
 
     def _give_up(self, reason: RefusalReason) -> Refuse:
@@ -268,4 +268,4 @@
         return RefusalReason.BACKEND_REFUSED
     if phase in SURELY_NOT_RUN:
         return RefusalReason.BACKEND_UNREACHABLE
-    return RefusalReason.ANSWER_LOST
+    return RefusalReason.RESPONSE_LOST
--- a/src/limedeck/staggering.py
+++ b/src/limedeck/staggering.py
@@ -6,7 +6,7 @@
 
 from limedeck import identity
 
-STEP: identity.Seconds = 0.5
+STAGGER_INTERVAL: identity.Seconds = 0.5
 """Twice as many nodes have begun after each of these; above the time in which one shows success."""
 
 
@@ -18,4 +18,4 @@
     place
         Where the node stands among all, from 0 to 1.
     """
-    return STEP * math.log2(1.0 + place * max(node_count - 1, 0))
+    return STAGGER_INTERVAL * math.log2(1.0 + place * max(node_count - 1, 0))
--- a/src/limedeck/store/feeds.py
+++ b/src/limedeck/store/feeds.py
@@ -44,8 +44,8 @@
     """
 
     NONE = "none"
-    BRIEF = "brief"
-    LASTING = "lasting"
+    TEMPORARY = "brief"
+    PERMANENT = "lasting"
 
 
 class FeedPolicy:
@@ -105,8 +105,8 @@
         if now > self._told_until and not leads:
             self._stays_until = now + SHORTEST_STAY
         if now <= self._stays_until:
-            return Feeds.BRIEF
-        return Feeds.LASTING if leads or self._is_observer else Feeds.NONE
+            return Feeds.TEMPORARY
+        return Feeds.PERMANENT if leads or self._is_observer else Feeds.NONE
 
 
 def choose_observers(zones: Mapping[str, str], leader_zone: str) -> frozenset[str]:
--- a/src/limedeck/store/replica.py
+++ b/src/limedeck/store/replica.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TableNews:
+class TableUpdate:
     """What another node's replica lacks.
 
     Parameters
@@ -101,7 +101,7 @@
         self._dropped: dict[str, int] = {}
         self._forgotten = 0
 
-    def take_whole(
+    def apply_snapshot(
         self,
         entries: Iterable[Entry],
         newest: int,
@@ -120,7 +120,7 @@
         self.is_complete = True
         self.on_change()
 
-    def take_changes(
+    def apply_changes(
         self,
         entries: Iterable[Entry],
         source: Source,
@@ -133,14 +133,14 @@
         if self.newest > before:
             self.on_change()
 
-    def take_news(self, news: TableNews, now: identity.Seconds) -> None:
+    def apply_update(self, news: TableUpdate, now: identity.Seconds) -> None:
         """Take in what another node's replica holds."""
         if news.whole:
-            self.take_whole(news.entries, news.newest, Source.NODE, now)
+            self.apply_snapshot(news.entries, news.newest, Source.NODE, now)
         else:
-            self.take_changes(news.entries, Source.NODE, now)
+            self.apply_changes(news.entries, Source.NODE, now)
 
-    def news_for(self, newest: int, known_before: identity.Seconds) -> TableNews | None:
+    def update_for(self, newest: int, known_before: identity.Seconds) -> TableUpdate | None:
         """What a replica lacks that has reached a version; None if that is nothing.
 
         Parameters
@@ -164,14 +164,14 @@
             told.append(item.entry)
         if not told:
             return None
-        return TableNews(self.table, tuple(told), told[-1].version)
+        return TableUpdate(self.table, tuple(told), told[-1].version)
 
-    def _whole(self, known_before: identity.Seconds) -> TableNews | None:
+    def _whole(self, known_before: identity.Seconds) -> TableUpdate | None:
         live = [item for item in self._known.values() if item.entry.value is not None]
         if any(item.since > known_before for item in live):
             return None
         entries = tuple(item.entry for item in live)
-        return TableNews(self.table, entries, self.newest, whole=True)
+        return TableUpdate(self.table, entries, self.newest, whole=True)
 
     def _take(self, entry: Entry, source: Source, now: identity.Seconds) -> None:
         known = self._known.get(entry.key)
--- a/src/limedeck/store/rows.py
+++ b/src/limedeck/store/rows.py
@@ -63,7 +63,7 @@
         return f"the store's answer cannot be read: {self.problem}"
 
 
-class HistoryGone(StoreError):
+class HistoryCompacted(StoreError):
     """The feed cannot go on from this version; read the table whole."""
 
 
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class WriteResult:
     """A transaction was done.
 
     Parameters
@@ -195,7 +195,7 @@
     @abstractmethod
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         """Write all rows if all conditions hold.
 
         Raises
--- a/src/limedeck/store/table_rows.py
+++ b/src/limedeck/store/table_rows.py
@@ -30,7 +30,7 @@
     ABSENT,
     ConditionFailed,
     DroppedRow,
-    HistoryGone,
+    HistoryCompacted,
     RowCondition,
     RowKey,
     RowStore,
@@ -42,7 +42,7 @@
     StoreUnavailable,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 from limedeck.store.table import Condition, Row, TransactionalTable, Write
 
@@ -140,7 +140,7 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         for attempt in range(ATTEMPTS):
             found = await self._read_rows([item.row for item in conditions])
             _check(conditions, found)
@@ -156,7 +156,7 @@
             except TransactionConflict:
                 await anyio.sleep(self._random.uniform(0.0, CONTENTION_PAUSE * (attempt + 1)))
                 continue
-            return Written(head.version, self._clock.read(steady_clock()))
+            return WriteResult(head.version, self._clock.read(steady_clock()))
         raise StoreContended(ATTEMPTS)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
@@ -232,9 +232,9 @@
 
 
 def _check_history(head: _Head, table: str, after: int) -> None:
-    """Raise `HistoryGone` if it is not known any more what changed since a version."""
+    """Raise `HistoryCompacted` if it is not known any more what changed since a version."""
     if not head.forgotten.get(table, ABSENT) <= after <= head.version:
-        raise HistoryGone
+        raise HistoryCompacted
 
 
 def _next_head(head: _Head, writes: Iterable[RowWrite], time: Seconds) -> _Head:
--- a/src/limedeck_lab/experiment_balance.py
+++ b/src/limedeck_lab/experiment_balance.py
@@ -23,7 +23,7 @@
     plan_evacuation,
 )
 from limedeck.keyspace.slices import SliceMap, change_of, slice_map_from
-from limedeck.measures import churn, highest_over_mean
+from limedeck.measures import churn, max_over_mean
 from limedeck_lab.standins.backend import LOAD_WINDOW
 
 RING_POINTS = 100
@@ -245,7 +245,7 @@
 
 
 def _imbalance(way: Way, trace: Trace, backends: list[BackendId]) -> float:
-    return highest_over_mean(trace.loads(way.owners(trace), backends).values())
+    return max_over_mean(trace.loads(way.owners(trace), backends).values())
 
 
 def _moved(way: Way, before: list[str], trace: Trace, map_before: SliceMap | None) -> float:
--- a/src/limedeck_lab/experiment_choice.py
+++ b/src/limedeck_lab/experiment_choice.py
@@ -21,7 +21,7 @@
 from limedeck.forwarding.backend_state import BackendState
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.identity import Seconds
-from limedeck.measures import highest_over_mean
+from limedeck.measures import max_over_mean
 from limedeck.model import Backend
 from limedeck.node import backend_loads
 from limedeck.ownership.fleet_load import FleetLoad
@@ -158,7 +158,7 @@
             self.fleet.nodes,
             self.fleet.backends,
             sum(arrivals),
-            highest_over_mean(arrivals),
+            max_over_mean(arrivals),
             self.turned_away,
             arrivals.count(0),
             float(numpy.quantile(self.times, 0.5)),
@@ -176,8 +176,8 @@
         backend.arrivals += 1
         if backend.is_full():
             self.turned_away += 1
-            state.note_load(backend.load(), self.environment.now)
-            state.note_full(self.environment.now)
+            state.record_load(backend.load(), self.environment.now)
+            state.record_queue_full(self.environment.now)
             return
         arrived = self.environment.now
         state.outstanding += 1
@@ -187,8 +187,8 @@
         state.outstanding -= 1
         now = self.environment.now
         self.times.append(now - arrived)
-        state.note_load(backend.load(), now)
-        state.note_answer(now - arrived, backend.load(), now, ROUTE)
+        state.record_load(backend.load(), now)
+        state.record_response(now - arrived, backend.load(), now, ROUTE)
 
     def _work(self) -> Seconds:
         return self.fleet.work * self.luck.lognormvariate(-(WORK_SIGMA**2) / 2.0, WORK_SIGMA)
@@ -214,9 +214,11 @@
                 self.fleet_load.note(
                     f"n{number}", backend_loads.read_report(report), self.environment.now
                 )
-            totals = self.fleet_load.totals(backend_loads.mark_of(name) for name in self.backends)
+            totals = self.fleet_load.totals(
+                backend_loads.backend_hash(name) for name in self.backends
+            )
             for directory in self.directories:
-                backend_loads.take_totals(totals, directory, self.environment.now)
+                backend_loads.apply_totals(totals, directory, self.environment.now)
 
 
 def _name(number: int) -> str:
--- a/src/limedeck_lab/experiment_keys.py
+++ b/src/limedeck_lab/experiment_keys.py
@@ -22,7 +22,7 @@
 from limedeck.model import Backend
 from limedeck.ownership.commands import OwnershipCommand, SendGrant, SendRelease
 from limedeck.ownership.orders import Grant, Release
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 from limedeck.ownership.service import ServiceOwnership
 from limedeck.ownership.timing import OwnershipTiming
 
@@ -43,7 +43,7 @@
 OBJECTIVE: Seconds = 0.6
 ORDER_TIME: Seconds = 0.005
 WRITE_TIME: Seconds = 0.012
-TELLING_TIME: Seconds = 0.2
+STATUS_SEND_TIME: Seconds = 0.2
 """Until all nodes know a change of owners."""
 REPORT_INTERVAL: Seconds = 0.5
 LEADER_INTERVAL: Seconds = 0.05
@@ -203,7 +203,7 @@
             for command in self._core.handle_tick(True, now):
                 self._environment.process(self._carry_out(command))
             for change in self._core.changes:
-                if change.cause is not Cause.FIRST:
+                if change.cause is not OwnerChangeCause.FIRST:
                     self._moved += change.last - change.first + 1
             self._core.changes.clear()
             ranges = self._core.published(now)
@@ -213,7 +213,7 @@
             yield self._environment.timeout(LEADER_INTERVAL)
 
     def _tell(self, owners: OwnerMap) -> Steps:
-        yield self._environment.timeout(TELLING_TIME)
+        yield self._environment.timeout(STATUS_SEND_TIME)
         self._owners = owners
 
     def _carry_out(self, command: OwnershipCommand) -> Steps:
@@ -238,7 +238,7 @@
     def _report(self) -> Steps:
         while True:
             yield self._environment.timeout(REPORT_INTERVAL)
-            self._core.note_requests(list(self._counts.items()), self._environment.now)
+            self._core.record_requests(list(self._counts.items()), self._environment.now)
             self._counts.clear()
 
     # ------------------------------------------------------------------ callers
--- a/src/limedeck_lab/explain/meanings.py
+++ b/src/limedeck_lab/explain/meanings.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from limedeck.forwarding.commands import Reason
+from limedeck.forwarding.commands import RefusalReason
 from limedeck.ownership.election import Suspicion
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 from limedeck.routing.outcomes import FailurePhase, Outcome
 
 OUTCOMES = {
@@ -13,21 +13,23 @@
     Outcome.UNKNOWN: "given up; a back end may have run it",
 }
 REASONS = {
-    Reason.NO_OWNER: "its key had no owner for as long as it could wait",
-    Reason.NO_BACKEND: "its service had no back end that may be used",
-    Reason.REFUSED: "back ends turned it away, and there was no retry left",
-    Reason.OVERLOADED: "the back end's queue was believed to be too long for it",
-    Reason.UNREACHABLE: "no connection to a back end came about",
-    Reason.ANSWER_LOST: "a back end had it, and its answer was lost",
-    Reason.TIMED_OUT: "its time was over",
-    Reason.STOPPED: "the node's planned stop was over before the answer came",
-    Reason.BAD_KEY: "it had no key that can be read",
-    Reason.QUARANTINED: "back ends had ended under it",
-    Reason.EVACUATED: "its key's owner is in a zone that is evacuated, and the key had not moved",
-    Reason.COLD: "its key's owner was cold",
-    Reason.LIMITED: "no back end that could run it had room: they name limits, or are cold",
-    Reason.BACKING_OFF: "every back end that could run it has requested back-off",
-    Reason.LEAVING: "every back end that could run it is leaving",
+    RefusalReason.NO_OWNER: "its key had no owner for as long as it could wait",
+    RefusalReason.NO_BACKEND: "its service had no back end that may be used",
+    RefusalReason.REFUSED: "back ends turned it away, and there was no retry left",
+    RefusalReason.OVERLOADED: "the back end's queue was believed to be too long for it",
+    RefusalReason.UNREACHABLE: "no connection to a back end came about",
+    RefusalReason.RESPONSE_LOST: "a back end had it, and its answer was lost",
+    RefusalReason.TIMED_OUT: "its time was over",
+    RefusalReason.STOPPED: "the node's planned stop was over before the answer came",
+    RefusalReason.BAD_KEY: "it had no key that can be read",
+    RefusalReason.QUARANTINED: "back ends had ended under it",
+    RefusalReason.EVACUATED: (
+        "its key's owner is in a zone that is evacuated, and the key had not moved"
+    ),
+    RefusalReason.COLD: "its key's owner was cold",
+    RefusalReason.LIMITED: "no back end that could run it had room: they name limits, or are cold",
+    RefusalReason.BACKING_OFF: "every back end that could run it has requested back-off",
+    RefusalReason.LEAVING: "every back end that could run it is leaving",
 }
 PHASES = {
     FailurePhase.NOT_CONNECTED: "no connection; nothing was sent",
@@ -40,17 +42,17 @@
     FailurePhase.ERROR_ANSWER: "the back end answered that it failed",
 }
 CAUSES = {
-    Cause.FIRST: "first assignment",
-    Cause.LEAVING: "the former owner leaves or is gone",
-    Cause.SILENT: "the former owner answered no orders",
-    Cause.FAILING: "the former owner fails",
-    Cause.BALANCE: "to spread the load",
+    OwnerChangeCause.FIRST: "first assignment",
+    OwnerChangeCause.LEAVING: "the former owner leaves or is gone",
+    OwnerChangeCause.SILENT: "the former owner answered no orders",
+    OwnerChangeCause.FAILING: "the former owner fails",
+    OwnerChangeCause.BALANCE: "to spread the load",
 }
 SUSPICIONS = {
     Suspicion.NO_RECORD: "there was none",
     Suspicion.SILENT: "the one before was silent",
     Suspicion.DENIED: "the one before had ended or given it up",
-    Suspicion.MISSES_STORE: "the one before could not reach the store",
+    Suspicion.STORE_UNREACHABLE: "the one before could not reach the store",
 }
 
 
--- a/src/limedeck_lab/load.py
+++ b/src/limedeck_lab/load.py
@@ -18,7 +18,7 @@
 """Below a stopping node's notice, so that callers use no connection that is about to close."""
 CALLER_TIMEOUT = 15.0
 SAFE_METHODS = ("GET", "HEAD")
-RETRY_PAUSE = 0.05
+RETRY_DELAY = 0.05
 CONNECT_ATTEMPTS = 20
 
 
@@ -168,7 +168,7 @@
                     headers={"limedeck-request-id": request.request_id},
                 )
             except (httpx.ConnectError, httpx.ConnectTimeout):
-                await anyio.sleep(RETRY_PAUSE)
+                await anyio.sleep(RETRY_DELAY)
             except httpx.HTTPError as error:
                 self.result.reasons[type(error).__name__] += 1
                 return None
--- a/src/limedeck_lab/ownership/node.py
+++ b/src/limedeck_lab/ownership/node.py
@@ -16,11 +16,11 @@
     Confirm,
     ElectionCommand,
     ElectionCore,
-    LeaderSeen,
+    LeaderReadResult,
     ReadLeader,
     Role,
 )
-from limedeck.ownership.lending import Lending
+from limedeck.ownership.leader_permits import LeaderPermitIssuer
 from limedeck.ownership.orders import Grant, Release
 from limedeck.ownership.service import ServiceOwnership
 from limedeck.store.rows import (
@@ -32,7 +32,7 @@
     StoredRow,
     StoreError,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.identity = LeaderRecord(node_id=node_id, incarnation=incarnation)
         now = world.environment.now
         self.election = ElectionCore(self.identity, world.timing, now)
-        self.lending = Lending(self.election)
+        self.lending = LeaderPermitIssuer(self.election)
         self.core: ServiceOwnership | None = None
         self._core_term = 0
         self._opening = False
@@ -104,7 +104,7 @@
     def _lead(self, core: ServiceOwnership, now: Seconds) -> None:
         self._ask_former_leaders()
         if not self.election.former_leaders():
-            core.handle_former_leaders_over(now)
+            core.handle_former_leaders_ended(now)
         if self.reaches_store:
             self._backends_seen = self.world.listing()
         core.set_backends(self._backends_seen.values(), now)
@@ -121,7 +121,7 @@
         if core.fenced_off:
             self.election.step_down()
         elif core.doubts_itself:
-            self.election.yield_office(now)
+            self.election.yield_leadership(now)
 
     def _hear_answers(self, core: ServiceOwnership, now: Seconds) -> None:
         """Other nodes tell of answers to their requests."""
@@ -129,7 +129,7 @@
             return
         for backend in self.world.backends.values():
             if backend.reachable and backend.serves(now):
-                core.note_answered(backend.backend_id, now)
+                core.record_last_response(backend.backend_id, now)
 
     def _ask_former_leaders(self) -> None:
         for former in self.election.former_leaders():
@@ -140,7 +140,7 @@
                 continue
             node.election.handle_superseded(self.election.term)
             if node.election.role is not Role.LEADER:
-                self.election.handle_former_over(former)
+                self.election.handle_former_leader_ended(former)
 
     def _start(self, process: Process) -> None:
         self.world.environment.process(process)
@@ -159,7 +159,9 @@
             self.election.handle_heartbeat(leader.election.term, silence, now)
         else:
             incarnation = leader.identity.incarnation
-            self.election.handle_denial(record.term, incarnation, leader.election.stands_aside(now))
+            self.election.handle_denial(
+                record.term, incarnation, leader.election.is_ineligible(now)
+            )
 
     # ------------------------------------------------------------------ store
 
@@ -171,7 +173,7 @@
                 found = yield from store.read(LEADER.table, self.reaches_store)
                 assert isinstance(found, TableRead)
                 seen = _seen(found.rows, found.store_time)
-                self.election.handle_seen(seen, self.world.environment.now)
+                self.election.handle_leader_read(seen, self.world.environment.now)
                 return
             if isinstance(command, Campaign):
                 conditions = [RowCondition(LEADER, command.row_version)]
@@ -181,18 +183,18 @@
                 told = LeaderConfirmation(term=command.term, confirmed_at=started)
                 write = RowWrite(CONFIRMATION, told.SerializeToString())
             written = yield from store.transact(conditions, [write], self.reaches_store)
-            assert isinstance(written, Written)
+            assert isinstance(written, WriteResult)
         except ConditionFailed as error:
-            self.election.handle_seen(_seen(error.rows, 0.0), self.world.environment.now)
+            self.election.handle_leader_read(_seen(error.rows, 0.0), self.world.environment.now)
             return
         except StoreError:
-            self.election.handle_no_answer(self.world.environment.now)
+            self.election.handle_store_failure(self.world.environment.now)
             return
         if isinstance(command, Confirm):
             self.election.handle_confirmed(started)
         else:
             now = self.world.environment.now
-            self.election.handle_won(command.record, written.version, now)
+            self.election.handle_elected(command.record, written.version, now)
 
     def _open(self, term: int) -> Process:
         try:
@@ -234,7 +236,7 @@
             except StoreError:
                 yield self.world.environment.timeout(RECORD_RETRY)
                 continue
-            assert isinstance(written, Written)
+            assert isinstance(written, WriteResult)
             core.handle_record_written(written.version)
             return
 
@@ -304,7 +306,7 @@
         return taken
 
 
-def _seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderSeen:
+def _seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
     record = None
     version = ABSENT
     age = None
@@ -317,7 +319,7 @@
             told = LeaderConfirmation.FromString(row.value)
             if told.term == record.term:
                 age = store_time - told.confirmed_at
-    return LeaderSeen(record, version, age)
+    return LeaderReadResult(record, version, age)
 
 
 def _record(row: StoredRow | None) -> AssignmentRecord | None:
--- a/src/limedeck_lab/ownership/runs.py
+++ b/src/limedeck_lab/ownership/runs.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from limedeck.forwarding.permits import PERMIT_LIFE
+from limedeck.forwarding.permits import PERMIT_LIFETIME
 from limedeck.identity import Seconds
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck_lab.ownership.faults import FAULTS
@@ -90,7 +90,7 @@
     with SABOTAGES[plan.sabotage].patch() if plan.sabotage else contextlib.nullcontext():
         world = World(plan.seed, OwnershipTiming(), plan.nodes, plan.backends)
         world.run_with_faults(plan.seconds, plan.faults)
-    most_permits = world.most_lent(PERMIT_WINDOW + PERMIT_LIFE)
+    most_permits = world.most_lent(PERMIT_WINDOW + PERMIT_LIFETIME)
     return RunReport(
         plan,
         tuple(_violations(world, most_permits)),
--- a/src/limedeck_lab/ownership/store.py
+++ b/src/limedeck_lab/ownership/store.py
@@ -19,7 +19,7 @@
     StoreRefused,
     StoreUnavailable,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 CALL_TIME: Seconds = 0.004
@@ -98,7 +98,7 @@
 
     def _write(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written | ConditionFailed:
+    ) -> WriteResult | ConditionFailed:
         for condition in conditions:
             row = self.rows.get(condition.row)
             if (row.version if row else ABSENT) != condition.version:
@@ -111,7 +111,7 @@
                 self.rows.pop(key, None)
                 continue
             self.rows[key] = StoredRow(key.table, key.part, key.key, write.value, self.version)
-        return Written(self.version, self.environment.now)
+        return WriteResult(self.version, self.environment.now)
 
     def _write_late(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
--- a/src/limedeck_lab/ownership/world.py
+++ b/src/limedeck_lab/ownership/world.py
@@ -9,8 +9,8 @@
 
 import simpy
 
-from limedeck.forwarding.permits import Bound, Permit, PermitAsk
-from limedeck.identity import Seconds, life_id
+from limedeck.forwarding.permits import Permit, PermitRequest, RateBound
+from limedeck.identity import Seconds, incarnation_id
 from limedeck.model import Backend
 from limedeck.ownership.orders import Grant, Release
 from limedeck.ownership.timing import OwnershipTiming
@@ -93,7 +93,7 @@
     def start_backend(self, instance: str = "") -> SimulatedBackend:
         """Start a back end, or another life of one."""
         self._lives += 1
-        name = life_id(instance, self._lives) if instance else f"backend-{self._lives}"
+        name = incarnation_id(instance, self._lives) if instance else f"backend-{self._lives}"
         backend = SimulatedBackend(name, self.positions, instance=instance)
         self.backends[backend.backend_id] = backend
         return backend
@@ -162,7 +162,7 @@
         for node in self.nodes.values():
             if not node.up or node.paused:
                 continue
-            answer = node.lending.answer(PermitAsk(Bound("limited", LIMIT), 0.0), None, now)
+            answer = node.lending.issue(PermitRequest(RateBound("limited", LIMIT), 0.0), None, now)
             if isinstance(answer, Permit):
                 self.lent_at.append(now)
 
--- a/src/limedeck_lab/simulation/callers.py
+++ b/src/limedeck_lab/simulation/callers.py
@@ -188,7 +188,7 @@
             return
         self._target = match_request(node.core.config, kind.method, path, "", {})
         budget = node.retry_budgets.setdefault(kind.service, RetryBudget())
-        budget.note_request(now)
+        budget.record_request(now)
         deadline = deadline_of(self._target.service, None, now)
         self._core = RequestCore(
             self._record.request_id, self._target, deadline, node.router, budget, now
@@ -277,13 +277,13 @@
         now = self._node.clock.read()
         state = self._node.backend_states.state(self._backend_id())
         if not not_owner:
-            state.note_failure(now)
+            state.record_failure(now)
         self._follow(self._core.handle_failure(phase, now, not_owner))
 
     def attempt_answered(self) -> None:
         """An attempt ended with a whole answer."""
         self._release()
-        self._node.backend_states.state(self._backend_id()).note_answer(0.001)
+        self._node.backend_states.state(self._backend_id()).record_response(0.001)
         self._answer(Outcome.WHOLE, "")
 
     def _backend_id(self) -> str:
--- a/src/limedeck_lab/simulation/monitor.py
+++ b/src/limedeck_lab/simulation/monitor.py
@@ -18,8 +18,8 @@
     KeyRange,
     UnavailableTime,
     churn,
-    highest_over_mean,
-    line_shares,
+    keyspace_shares,
+    max_over_mean,
     overlap,
     uncovered,
 )
@@ -251,7 +251,7 @@
         """Highest over mean share of the key line, over owners in use."""
         watch = self.groups[group]
         owners = sorted(watch.newest.owners())
-        return highest_over_mean(line_shares(watch.newest, owners).values())
+        return max_over_mean(keyspace_shares(watch.newest, owners).values())
 
     def take_product_violation(self, error: InvariantViolation, where: str) -> None:
         """An invariant inside the product has failed."""
--- a/src/limedeck_lab/simulation/world.py
+++ b/src/limedeck_lab/simulation/world.py
@@ -16,7 +16,7 @@
 from limedeck.control.timing import ControlLimits, ControlTiming
 from limedeck.errors import InvariantViolation
 from limedeck.identity import GroupId, NodeId, Seconds, keyed_group
-from limedeck.measures import highest_over_mean
+from limedeck.measures import max_over_mean
 from limedeck.routing.outcomes import Outcome
 from limedeck_lab.simulation.backends import BackendSize, SimulatedBackend
 from limedeck_lab.simulation.callers import SimulatedCallers
@@ -359,7 +359,7 @@
             if item.keyed:
                 load = self.monitor.load_by_backend.get(item.place.machine, 0)
                 loads.setdefault(item.configured.service, []).append(load)
-        return max((highest_over_mean(values) for values in loads.values()), default=1.0)
+        return max((max_over_mean(values) for values in loads.values()), default=1.0)
 
     def _report(self, wall_seconds: float) -> RunReport:
         watches = self.monitor.groups
--- a/tests/contract/test_platform_formats.py
+++ b/tests/contract/test_platform_formats.py
@@ -208,11 +208,19 @@
     ],
 )
 def test_an_answers_head(
-    status: int, headers: list[tuple[bytes, bytes]], not_run: bool, wrong: bool, credible: bool
+    status: int,
+    headers: list[tuple[bytes, bytes]],
+    not_run: bool,
+    wrong: bool,
+    is_from_backend: bool,
 ) -> None:
-    facts = PlatformProtocol().answer_facts(status, [(b"x-attempt-id", b"a"), *headers])
+    facts = PlatformProtocol().response_metadata(status, [(b"x-attempt-id", b"a"), *headers])
     assert facts.request_id == b"a"
-    assert (facts.not_run, facts.wrong_instance, facts.credible) == (not_run, wrong, credible)
+    assert (facts.not_run, facts.wrong_instance, facts.is_from_backend) == (
+        not_run,
+        wrong,
+        is_from_backend,
+    )
 
 
 @pytest.mark.parametrize(
@@ -231,7 +239,7 @@
     ],
 )
 def test_a_load_report(value: bytes, load: LoadReport | None) -> None:
-    facts = PlatformProtocol().answer_facts(200, [(b"x-upstream-load", value)])
+    facts = PlatformProtocol().response_metadata(200, [(b"x-upstream-load", value)])
     assert facts.load == load
     assert facts.unreadable_load == (load is None)
 
@@ -282,12 +290,14 @@
 )
 def test_limits_of_any_spelling(values: list[bytes], limit: float | None, unreadable: bool) -> None:
     headers = [(b"x-attempt-id", b"1"), *((b"server-limit", value) for value in values)]
-    facts = PlatformProtocol().answer_facts(200, headers)
+    facts = PlatformProtocol().response_metadata(200, headers)
     assert (facts.limit, facts.unreadable_limit) == (limit, unreadable)
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=3))
 def test_no_bytes_in_a_limit_make_a_rate_that_is_none(values: list[bytes]) -> None:
-    facts = PlatformProtocol().answer_facts(200, [(b"server-limit", value) for value in values])
+    facts = PlatformProtocol().response_metadata(
+        200, [(b"server-limit", value) for value in values]
+    )
     assert facts.unreadable_limit == (facts.limit is None)
     assert facts.limit is None or 0.0 <= facts.limit < 1e10
--- a/tests/soak/judging.py
+++ b/tests/soak/judging.py
@@ -129,7 +129,7 @@
         with self._lock:
             self._lives[address] += 1
 
-    def note_sent(self, request: str, address: str, is_unsafe: bool) -> None:
+    def record_sent(self, request: str, address: str, is_unsafe: bool) -> None:
         """A request is about to be sent to the node at an address."""
         with self._lock:
             node = f"{address}/{self._lives[address]}"
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -66,7 +66,7 @@
         request = f"{self._prefix}{self._sent:012x}"
         connection = self._connection()
         path, version = self._path()
-        self._judge.note_sent(request, connection.address, is_unsafe=path.startswith("/plain/"))
+        self._judge.record_sent(request, connection.address, is_unsafe=path.startswith("/plain/"))
         headers = {
             "host": "h.example",
             "x-attempt-id": request,
--- a/tests/system/test_crashing_requests.py
+++ b/tests/system/test_crashing_requests.py
@@ -35,7 +35,7 @@
 
 NODES = 3
 PLAIN = 14
-RETRY_PAUSE = 0.3
+RETRY_DELAY = 0.3
 """Seconds between two tries of the caller whose request ends back ends."""
 KNOWN_WITHIN = 3.0
 """Seconds after the third back end has ended until all nodes know the request."""
@@ -104,7 +104,7 @@
         if not node.process.is_running:
             continue
         statuses[site.post(client, node, path, CRASHING)] += 1
-        time.sleep(RETRY_PAUSE)
+        time.sleep(RETRY_DELAY)
     raise AssertionError
 
 
--- a/tests/unit/permit_world.py
+++ b/tests/unit/permit_world.py
@@ -10,9 +10,9 @@
 
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.budget import RetryAllowance, RetryBudget
-from limedeck.forwarding.commands import AskPermit, Attempt, Refuse, Wait
+from limedeck.forwarding.commands import Attempt, Refuse, RequestPermit, Wait
 from limedeck.forwarding.limits import LimitStatement
-from limedeck.forwarding.permits import NoPermit, PermitAnswer, PermitLender
+from limedeck.forwarding.permits import NoPermit, PermitIssuer, PermitResponse
 from limedeck.forwarding.request import RequestCore, ServiceView
 from limedeck.model import Backend, Route, Target
 
@@ -33,7 +33,7 @@
 
     began: float
     confirmed_at: float
-    lender: PermitLender
+    lender: PermitIssuer
     reaches_store: bool = True
 
 
@@ -100,7 +100,7 @@
     def elect(self, followers: list[SimulatedNode]) -> Leader:
         """A node is elected, and these hear it; the one before it may not know that."""
         now = self.env.now
-        leader = Leader(now, now, PermitLender(now))
+        leader = Leader(now, now, PermitIssuer(now))
         self.recorded = leader
         for node in followers:
             node.leader = leader
@@ -135,7 +135,7 @@
         command = core.next_command(self.env.now, self.count)
         while True:
             match command:
-                case AskPermit():
+                case RequestPermit():
                     yield self.env.timeout(self.source.uniform(*LINK))
                     answer = self._answer(node, command)
                     yield self.env.timeout(self.source.uniform(*LINK))
@@ -149,12 +149,12 @@
                 case Refuse():
                     return command
 
-    def _answer(self, node: SimulatedNode, command: AskPermit) -> PermitAnswer:
+    def _answer(self, node: SimulatedNode, command: RequestPermit) -> PermitResponse:
         leader = node.leader
         if leader is None:
             return NoPermit(0.3)
         silence = self.env.now - leader.confirmed_at
-        return leader.lender.answer(command.ask, None, silence, self.env.now)
+        return leader.lender.issue(command.permit_request, None, silence, self.env.now)
 
     def _run(self, node: SimulatedNode, asked: float) -> Steps:
         yield self.env.timeout(self.source.uniform(*LINK))
--- a/tests/unit/test_architecture_page.py
+++ b/tests/unit/test_architecture_page.py
@@ -33,5 +33,11 @@
     modules = {file.stem for file in Path("src/limedeck/ownership").glob("*.py")}
     shown = {name.removeprefix("ownership.") for name in named() if name.startswith("ownership.")}
     # Types, and permits' lending, which the request's way names by what it lends.
-    not_decisions = WITHOUT_DECISIONS | {"commands", "orders", "ranges", "range_map", "lending"}
+    not_decisions = WITHOUT_DECISIONS | {
+        "commands",
+        "orders",
+        "ranges",
+        "range_map",
+        "leader_permits",
+    }
     assert modules - not_decisions == shown
--- a/tests/unit/test_availability.py
+++ b/tests/unit/test_availability.py
@@ -6,10 +6,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limedeck.forwarding.availability import LEAVING_OWNER_STOP, MAX_PROBES, Cause
+from limedeck.forwarding.availability import LEAVING_OWNER_GRACE, MAX_PROBES, UnavailableCause
 from limedeck.forwarding.backends import MAX_CONFIRMATION_AGE, BackendDirectory
 from limedeck.forwarding.budget import RetryAllowance, RetryBudget
-from limedeck.forwarding.commands import AskPermit, Attempt, Command, Reason, Refuse, Wait
+from limedeck.forwarding.commands import (
+    Attempt,
+    Command,
+    RefusalReason,
+    Refuse,
+    RequestPermit,
+    Wait,
+)
 from limedeck.forwarding.leaving import LeavingStatement
 from limedeck.forwarding.limits import LimitStatement
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
@@ -53,7 +60,7 @@
     return core_of(directory, now, owner).next_command(now, NODES)
 
 
-def assert_refused(command: Command, reason: Reason) -> Refuse:
+def assert_refused(command: Command, reason: RefusalReason) -> Refuse:
     assert isinstance(command, Refuse)
     assert (command.outcome, command.reason) == (Outcome.NOT_RUN, reason)
     return command
@@ -71,7 +78,7 @@
 def test_request_is_refused_if_all_back_ends_are_leaving() -> None:
     directory = directory_of("a", "b")
     announce_leaving(directory, "a", "b")
-    refusal = assert_refused(first_command(directory), Reason.LEAVING)
+    refusal = assert_refused(first_command(directory), RefusalReason.LEAVING)
     assert refusal.retry_after >= 1.0
 
 
@@ -81,8 +88,8 @@
     command = core.next_command(10.0, NODES)
     assert isinstance(command, Attempt)
     announce_leaving(directory, "a", "b", at=10.1)
-    core.service.budget.note_request(10.0)
-    assert_refused(core.handle_failure(FailurePhase.REFUSED, 10.2, NODES), Reason.REFUSED)
+    core.service.budget.record_request(10.0)
+    assert_refused(core.handle_failure(FailurePhase.REFUSED, 10.2, NODES), RefusalReason.REFUSED)
 
 
 def test_permit_is_not_used_once_back_end_is_leaving() -> None:
@@ -90,19 +97,19 @@
     directory.limits.take("a", LimitStatement(4.2, 1.0, 1.1))
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
-    assert isinstance(command, AskPermit)
+    assert isinstance(command, RequestPermit)
     assert isinstance(core.handle_permit(command, Permit(0.05), 10.01, NODES), Wait)
     announce_leaving(directory, "a", at=10.02)
-    assert_refused(core.next_command(10.06, NODES), Reason.LEAVING)
+    assert_refused(core.next_command(10.06, NODES), RefusalReason.LEAVING)
 
 
 def test_leaving_owner_receives_requests_only_while_its_keys_move() -> None:
     directory = directory_of("a", "b")
     announce_leaving(directory, "a", at=10.0)
-    just_before = 10.0 + LEAVING_OWNER_STOP - 0.01
+    just_before = 10.0 + LEAVING_OWNER_GRACE - 0.01
     assert isinstance(first_command(directory, just_before, owner="a"), Attempt)
     refusal = assert_refused(
-        first_command(directory, 10.0 + LEAVING_OWNER_STOP, owner="a"), Reason.LEAVING
+        first_command(directory, 10.0 + LEAVING_OWNER_GRACE, owner="a"), RefusalReason.LEAVING
     )
     assert 0.25 <= refusal.retry_after <= 0.55
 
@@ -112,8 +119,8 @@
     core = core_of(directory, owner="a")
     assert isinstance(core.next_command(10.0, NODES), Attempt)
     assert isinstance(core.handle_failure(FailurePhase.REFUSED, 10.01, NODES), Wait)
-    announce_leaving(directory, "a", at=10.06 - LEAVING_OWNER_STOP)
-    assert_refused(core.next_command(10.06, NODES), Reason.LEAVING)
+    announce_leaving(directory, "a", at=10.06 - LEAVING_OWNER_GRACE)
+    assert_refused(core.next_command(10.06, NODES), RefusalReason.LEAVING)
 
 
 @pytest.mark.parametrize("by_entry", [True, False])
@@ -125,9 +132,9 @@
         announce_leaving(directory, "a", at=10.0)
     state = directory.find("a")
     assert state is not None
-    assert directory.availability.check_owner(state, 10.0 + LEAVING_OWNER_STOP - 0.01) is None
-    unavailable = directory.availability.check_owner(state, 10.0 + LEAVING_OWNER_STOP)
-    assert unavailable is not None and unavailable.cause is Cause.LEAVING
+    assert directory.availability.check_owner(state, 10.0 + LEAVING_OWNER_GRACE - 0.01) is None
+    unavailable = directory.availability.check_owner(state, 10.0 + LEAVING_OWNER_GRACE)
+    assert unavailable is not None and unavailable.cause is UnavailableCause.LEAVING
 
 
 def test_leaving_back_end_is_shown_to_leader_as_draining() -> None:
@@ -139,17 +146,17 @@
 
 def test_key_without_owner_is_refused_at_once_while_store_is_unavailable() -> None:
     directory = directory_of("a")
-    directory.note_store_confirmed(0.0, 10.0)
+    directory.record_store_confirmation(0.0, 10.0)
     command = first_command(directory, 10.1, owner="")
     assert isinstance(command, Wait)
     assert command.until <= 10.1 + LONGEST_MOVE_WAIT
     refusal = assert_refused(
-        first_command(directory, 10.0 + MAX_CONFIRMATION_AGE, owner=""), Reason.NO_OWNER
+        first_command(directory, 10.0 + MAX_CONFIRMATION_AGE, owner=""), RefusalReason.NO_OWNER
     )
     assert refusal.retry_after >= 1.0
-    directory.note_store_confirmed(MAX_CONFIRMATION_AGE, 12.0)
-    assert_refused(first_command(directory, 12.0, owner=""), Reason.NO_OWNER)
-    directory.note_store_confirmed(0.1, 13.0)
+    directory.record_store_confirmation(MAX_CONFIRMATION_AGE, 12.0)
+    assert_refused(first_command(directory, 12.0, owner=""), RefusalReason.NO_OWNER)
+    directory.record_store_confirmation(0.1, 13.0)
     assert isinstance(first_command(directory, 13.0, owner=""), Wait)
 
 
@@ -160,7 +167,7 @@
     announce_leaving(directory, "a", at=6.0)
     assert isinstance(first_command(directory), Attempt)
     announce_leaving(directory, "a", at=9.0)
-    assert_refused(first_command(directory), Reason.LEAVING)
+    assert_refused(first_command(directory), RefusalReason.LEAVING)
 
 
 def back_off(
@@ -190,7 +197,7 @@
     healthy = directory.find("b")
     assert healthy is not None
     for _ in range(3):
-        healthy.note_failure(9.9)
+        healthy.record_failure(9.9)
     back_off(directory, "a")
     command = first_command(directory, 10.0)
     assert isinstance(command, Attempt)
@@ -201,7 +208,7 @@
     directory = directory_of("a", "b")
     back_off(directory, "a", seconds=5.0)
     back_off(directory, "b", seconds=2.0)
-    refusal = assert_refused(first_command(directory, 11.0), Reason.BACKING_OFF)
+    refusal = assert_refused(first_command(directory, 11.0), RefusalReason.BACKING_OFF)
     remaining = resume_at(directory, "b") - 11.0
     assert remaining <= refusal.retry_after <= remaining + 0.3
 
@@ -227,7 +234,7 @@
         assert isinstance(command, Attempt)
         back_off(directory, command.state.backend.backend_id, at=10.01)
         command = core.handle_failure(FailurePhase.REFUSED, 10.01, NODES)
-    assert_refused(command, Reason.REFUSED)
+    assert_refused(command, RefusalReason.REFUSED)
 
 
 def test_permit_is_not_used_during_backoff() -> None:
@@ -235,10 +242,10 @@
     directory.limits.take("a", LimitStatement(4.2, 1.0, 1.1))
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
-    assert isinstance(command, AskPermit)
+    assert isinstance(command, RequestPermit)
     assert isinstance(core.handle_permit(command, Permit(0.05), 10.01, NODES), Wait)
     back_off(directory, "a", at=10.02)
-    assert_refused(core.next_command(10.06, NODES), Reason.BACKING_OFF)
+    assert_refused(core.next_command(10.06, NODES), RefusalReason.BACKING_OFF)
 
 
 def test_request_rejected_by_its_owner_is_refused_without_a_second_attempt() -> None:
@@ -247,16 +254,16 @@
     assert isinstance(core.next_command(10.0, NODES), Attempt)
     back_off(directory, "a", at=10.01)
     refusal = assert_refused(
-        core.handle_failure(FailurePhase.REFUSED, 10.01, NODES), Reason.BACKING_OFF
+        core.handle_failure(FailurePhase.REFUSED, 10.01, NODES), RefusalReason.BACKING_OFF
     )
     assert refusal.retry_after <= 1.3
 
 
 def test_retry_after_is_the_end_of_the_backoff_if_keys_cannot_move() -> None:
     directory = directory_of("a", "b")
-    directory.note_store_confirmed(0.0, 1.0)
+    directory.record_store_confirmation(0.0, 1.0)
     back_off(directory, "a", at=10.0)
-    refusal = assert_refused(first_command(directory, 10.5, owner="a"), Reason.BACKING_OFF)
+    refusal = assert_refused(first_command(directory, 10.5, owner="a"), RefusalReason.BACKING_OFF)
     assert 2.5 <= refusal.retry_after <= 3.1
 
 
@@ -271,8 +278,8 @@
         command = first_command(directory, after, owner)
         assert isinstance(command, Attempt)
         command.state.outstanding += 1
-    assert_refused(first_command(directory, after, owner), Reason.BACKING_OFF)
-    directory.backoffs.note_served("a", after)
+    assert_refused(first_command(directory, after, owner), RefusalReason.BACKING_OFF)
+    directory.backoffs.record_served("a", after)
     assert isinstance(first_command(directory, after, owner), Attempt)
 
 
--- a/tests/unit/test_backend_loads.py
+++ b/tests/unit/test_backend_loads.py
@@ -10,7 +10,15 @@
 
 from limedeck.api import control_pb2
 from limedeck.errors import PeerProtocolError
-from limedeck.forwarding import backend_state, backends, budget, commands, request, stale_load, work
+from limedeck.forwarding import (
+    backend_state,
+    backends,
+    budget,
+    commands,
+    load_leveling,
+    request,
+    request_cost,
+)
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.model import Backend, Route, Target
 from limedeck.node import backend_loads
@@ -50,7 +58,7 @@
     directory = directory_of("a")
     state = state_in(directory, "a")
     for step in range(50):
-        state.note_answer(0.24, None, step * 0.1, "long")
+        state.record_response(0.24, None, step * 0.1, "long")
     short = core_for(directory, "short", 0.15, 10.0)
     assert isinstance(short.next_command(10.0, 3), commands.Attempt)
 
@@ -60,15 +68,15 @@
     slow, fast = state_in(directory, "slow"), state_in(directory, "fast")
     for step in range(400):
         now = step * 0.1
-        slow.note_answer(0.2 if step % 2 else 0.04, None, now, "long" if step % 2 else "short")
-        fast.note_answer(0.1 if step % 2 else 0.02, None, now, "long" if step % 2 else "short")
+        slow.record_response(0.2 if step % 2 else 0.04, None, now, "long" if step % 2 else "short")
+        fast.record_response(0.1 if step % 2 else 0.02, None, now, "long" if step % 2 else "short")
     for state, factor in ((slow, 2.0), (fast, 1.0)):
         assert state.expected_time_of("long", 100.0) == pytest.approx(0.1 * factor, rel=0.25)
         assert state.expected_time_of("short", 100.0) == pytest.approx(0.02 * factor, rel=0.25)
 
 
 def test_the_only_route_of_a_service_has_the_mean_work() -> None:
-    measured = work.ServiceWork()
+    measured = request_cost.ServiceWork()
     for ratio in (0.5, 1.5, 3.0, 0.7, 0.9, 1.1):
         measured.note("r", ratio)
     assert measured.relative("r") == 1.0
@@ -79,7 +87,7 @@
     directory = directory_of("a")
     state = state_in(directory, "a")
     for step in range(100):
-        state.note_answer(0.3, None, step * 0.1, "r", ahead=3 * SLOTS - 1)
+        state.record_response(0.3, None, step * 0.1, "r", ahead=3 * SLOTS - 1)
     assert state.service_time == pytest.approx(0.1, rel=0.1)
 
 
@@ -90,22 +98,22 @@
     state = state_in(directory_of("a"), "a")
     state.outstanding = 2
     assert state.take_sample() is not None
-    state.note_fleet(9, 0.0, 5.0)
+    state.record_fleet_load(9, 0.0, 5.0)
     assert state.expected_load(5.1) == 9.0
     assert state.expected_load(5.1 + backend_state.FLEET_LOAD_LIFE) == 2.0
 
 
 def test_a_back_end_that_tells_its_load_is_believed_before_the_leader() -> None:
     state = state_in(directory_of("a"), "a")
-    state.note_load(LoadReport(1, 0, SLOTS), 5.0)
-    state.note_fleet(9, 0.0, 5.0)
+    state.record_load(LoadReport(1, 0, SLOTS), 5.0)
+    state.record_fleet_load(9, 0.0, 5.0)
     assert state.expected_load(5.0) == 1.0
 
 
 def test_the_leader_is_believed_once_its_sum_is_newer_than_the_answer() -> None:
     state = state_in(directory_of("a"), "a")
-    state.note_load(LoadReport(1, 0, SLOTS), 5.0)
-    state.note_fleet(9, 0.0, 5.5)
+    state.record_load(LoadReport(1, 0, SLOTS), 5.0)
+    state.record_fleet_load(9, 0.0, 5.5)
     assert state.expected_load(5.5) == 9.0
     assert state.expected_load(5.5 + backend_state.FLEET_LOAD_LIFE) < 1.0
 
@@ -177,15 +185,15 @@
         directory = directory_of("a", "b")
         state = state_in(directory, "a")
         state.outstanding = outstanding
-        state.note_answer(0.1, None, 1.0, "r")
+        state.record_response(0.1, None, 1.0, "r")
         nodes[name] = directory
         message = backend_loads.write_report(directory, 0.0)
         leader.note(name, backend_loads.read_report(message), 1.0)
-    marks = [backend_loads.mark_of(name) for name in ("a", "b")]
+    marks = [backend_loads.backend_hash(name) for name in ("a", "b")]
     totals = leader.totals(marks)
     assert [item.outstanding for item in totals] == [7, 0]
     assert totals[0].service_time == pytest.approx(0.1)
-    backend_loads.take_totals(totals, nodes["n1"], 2.0)
+    backend_loads.apply_totals(totals, nodes["n1"], 2.0)
     assert state_in(nodes["n1"], "a").expected_load(2.0) == 7.0
     leader.forget("n2")
     assert leader.totals(marks)[0].outstanding == 3
@@ -194,10 +202,10 @@
 def test_a_new_leader_goes_on_from_the_service_times_that_it_was_told() -> None:
     """Found on klvs-gateway scale-2: a new leader gave a very hot key to a slow back end."""
     directory = directory_of("a", "b")
-    state_in(directory, "a").note_fleet(0, 0.05, 1.0)
+    state_in(directory, "a").record_fleet_load(0, 0.05, 1.0)
     leader = fleet_load.FleetLoad()
-    leader.begin_with(backend_loads.known_service_times(directory), 1.0)
-    marks = [backend_loads.mark_of(name) for name in ("a", "b")]
+    leader.initialize(backend_loads.known_service_times(directory), 1.0)
+    marks = [backend_loads.backend_hash(name) for name in ("a", "b")]
     assert [item.service_time for item in leader.totals(marks)] == [0.05, 0.0]
 
 
@@ -213,8 +221,8 @@
 
 def test_failures_are_reported_once() -> None:
     directory = directory_of("a")
-    state_in(directory, "a").note_failure(1.0)
-    state_in(directory, "a").note_failure(1.0, own_fault=False)
+    state_in(directory, "a").record_failure(1.0)
+    state_in(directory, "a").record_failure(1.0, own_fault=False)
     (report,) = backend_loads.read_report(backend_loads.write_report(directory, 0.0))
     assert (report.answers, report.failures) == (0, 1)
     assert not backend_loads.write_report(directory, 0.0).backends
@@ -222,12 +230,12 @@
 
 def test_one_that_all_nodes_are_told_to_pass_over_is_passed_over_until_the_word_is_old() -> None:
     directory = directory_of("a", "b")
-    state_in(directory, "a").note_fleet(0, 0.1, 5.0, excluded=True)
+    state_in(directory, "a").record_fleet_load(0, 0.1, 5.0, excluded=True)
     picks = {directory.choose("s", (), b"%d" % number, 5.1) for number in range(40)}
     assert picks == {state_in(directory, "b")}
-    assert not state_in(directory, "a").is_passed_over(5.0 + backend_state.FLEET_LOAD_LIFE)
-    state_in(directory, "a").note_fleet(0, 0.1, 5.2)
-    assert not state_in(directory, "a").is_passed_over(5.2)
+    assert not state_in(directory, "a").is_ejected(5.0 + backend_state.FLEET_LOAD_LIFE)
+    state_in(directory, "a").record_fleet_load(0, 0.1, 5.2)
+    assert not state_in(directory, "a").is_ejected(5.2)
 
 
 def test_a_report_with_lists_of_unequal_length_is_refused() -> None:
@@ -240,7 +248,7 @@
 
 
 def test_shares_level_the_use_of_back_ends() -> None:
-    shares = stale_load.levelling_shares([8.0, 2.0, 0.0], [1.0, 1.0, 2.0], 6.0)
+    shares = load_leveling.levelling_shares([8.0, 2.0, 0.0], [1.0, 1.0, 2.0], 6.0)
     assert shares == pytest.approx([0.0, 2.0 / 3.0, 16.0 / 3.0])
     assert sum(shares) == pytest.approx(6.0)
 
@@ -251,7 +259,7 @@
     directory = directory_of(*names)
     loads = (5, 5, 4, 4, 3, 3)
     for name, load in zip(names, loads, strict=True):
-        state_in(directory, name).note_fleet(load, 0.4, 10.0)
+        state_in(directory, name).record_fleet_load(load, 0.4, 10.0)
     chosen: Counter[str] = Counter()
     for number in range(400):
         state = directory.choose("s", (), b"%d" % number, 10.1)
@@ -268,7 +276,7 @@
         loads = [luck.uniform(0.0, 20.0) for _ in range(count)]
         capacities = [luck.uniform(1.0, 90.0) for _ in range(count)]
         arrivals = luck.uniform(0.1, 50.0)
-        shares = stale_load.levelling_shares(loads, capacities, arrivals)
+        shares = load_leveling.levelling_shares(loads, capacities, arrivals)
         assert sum(shares) == pytest.approx(arrivals)
         uses = [(a + b) / c for a, b, c in zip(loads, shares, capacities, strict=True)]
         given = [use for use, share in zip(uses, shares, strict=True) if share > 0]
@@ -281,18 +289,18 @@
 
 def test_a_caller_that_comes_back_is_known_by_the_time_it_has_left() -> None:
     view = request.ServiceView("s", False, budget.RetryBudget(budget.RetryAllowance(0.2, 9, 10)))
-    assert not view.note_wait("r", 0.5)
-    assert not view.note_wait("r", 0.49)
-    assert view.note_wait("r", 0.35)
-    assert not view.note_wait("other", 0.35)
+    assert not view.record_wait("r", 0.5)
+    assert not view.record_wait("r", 0.49)
+    assert view.record_wait("r", 0.35)
+    assert not view.record_wait("other", 0.35)
 
 
 def busy_directory(load: int) -> backends.BackendDirectory:
     directory = directory_of("a")
     state = state_in(directory, "a")
     for step in range(20):
-        state.note_answer(0.1, None, step * 0.1, "r")
-    state.note_fleet(load, 0.1, 10.0)
+        state.record_response(0.1, None, step * 0.1, "r")
+    state.record_fleet_load(load, 0.1, 10.0)
     return directory
 
 
@@ -302,10 +310,10 @@
     command = first.next_command(10.0, 3)
     assert isinstance(command, commands.Refuse)
     assert command.outcome is outcomes.Outcome.NOT_RUN
-    assert isinstance(command.belief, commands.Belief)
-    assert (command.belief.backend_id, command.belief.load) == ("a", 3 * SLOTS)
+    assert isinstance(command.details, commands.LoadEstimate)
+    assert (command.details.backend_id, command.details.load) == ("a", 3 * SLOTS)
     again = core_for(directory, "r", 0.2, 10.0)
-    again.claim.returned = True
+    again.claim.is_client_retry = True
     assert isinstance(again.next_command(10.0, 3), commands.Refuse)
     again.claim.until = 10.4
     assert isinstance(again.next_command(10.0, 3), commands.Attempt)
@@ -314,10 +322,10 @@
 def test_nothing_is_sent_to_a_back_end_that_would_reset_it() -> None:
     directory = busy_directory(int(backend_state.FULL_QUEUE) * SLOTS)
     core = core_for(directory, "r", 5.0, 10.0)
-    core.claim.returned = True
+    core.claim.is_client_retry = True
     command = core.next_command(10.0, 3)
     assert isinstance(command, commands.Refuse)
     assert (command.outcome, command.reason) == (
         outcomes.Outcome.NOT_RUN,
-        commands.Reason.OVERLOADED,
+        commands.RefusalReason.OVERLOADED,
     )
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_updates.py
@@ -9,16 +9,16 @@
 
 from limedeck import clock
 from limedeck.api import control_pb2
-from limedeck.forwarding import budget, content, crashes, quarantine, quarantine_news
+from limedeck.forwarding import budget, crashes, quarantine, quarantine_updates, request_content
 from limedeck.identity import Seconds
 from limedeck.model import Backend
 from limedeck.node import (
     crash_gossip,
-    crash_news,
+    crash_updates,
     followers,
     framing,
-    news,
     quarantine_record,
+    table_exchange,
 )
 from limedeck.node import state as node_state
 from limedeck.store.rows import (
@@ -30,7 +30,7 @@
     StoreUnavailable,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 from limedeck_lab import processes
 from tests.unit import polling, test_telling
@@ -45,32 +45,34 @@
     return "asyncio"
 
 
-def signs(number: int) -> content.RequestSigns:
+def fingerprints(number: int) -> request_content.RequestFingerprints:
     """A request that is known by one number, however widely it is looked at."""
-    return content.RequestSigns(number, number, number)
+    return request_content.RequestFingerprints(number, number, number)
 
 
 def convicting(ledger: quarantine.QuarantineLedger, start: Seconds) -> None:
     """Let a node see three back ends end under one request."""
     for number in range(3):
-        ledger.note_lost(f"b{number}", signs(BAD), start)
-        ledger.note_ended(f"b{number}", start)
+        ledger.record_lost_request(f"b{number}", fingerprints(BAD), start)
+        ledger.record_process_exit(f"b{number}", start)
 
 
 def test_news_survive_the_message_on_the_other_nodes_clock() -> None:
-    told: list[quarantine_news.News] = [
-        quarantine_news.CrashNews("b1", 95.0, frozenset({signs(BAD), signs(2)})),
-        quarantine_news.Quarantine(BAD, 2, 90.0, 400.0),
-        quarantine_news.Quarantine(7, 0, 10.0, 70.0),
-        quarantine_news.ServedNews(3, 99.0),
+    told: list[quarantine_updates.QuarantineUpdate] = [
+        quarantine_updates.CrashUpdate("b1", 95.0, frozenset({fingerprints(BAD), fingerprints(2)})),
+        quarantine_updates.Quarantine(BAD, 2, 90.0, 400.0),
+        quarantine_updates.Quarantine(7, 0, 10.0, 70.0),
+        quarantine_updates.ServedUpdate(3, 99.0),
     ]
-    message = crash_news.encoded(told, 100.0)
+    message = crash_updates.encoded(told, 100.0)
     received = control_pb2.CrashNews.FromString(message.SerializeToString())
-    assert crash_news.decoded(received, 1100.0) == [
-        quarantine_news.CrashNews("b1", 1095.0, frozenset({signs(BAD), signs(2)})),
-        quarantine_news.Quarantine(BAD, 2, 1090.0, 1400.0),
-        quarantine_news.Quarantine(7, 0, 1010.0, 1070.0),
-        quarantine_news.ServedNews(3, 1099.0),
+    assert crash_updates.decoded(received, 1100.0) == [
+        quarantine_updates.CrashUpdate(
+            "b1", 1095.0, frozenset({fingerprints(BAD), fingerprints(2)})
+        ),
+        quarantine_updates.Quarantine(BAD, 2, 1090.0, 1400.0),
+        quarantine_updates.Quarantine(7, 0, 1010.0, 1070.0),
+        quarantine_updates.ServedUpdate(3, 1099.0),
     ]
 
 
@@ -78,12 +80,12 @@
     """A crash of a back end with a full queue, in each of the items."""
     ledger = quarantine.QuarantineLedger("n")
     for number in range(200):
-        for request in range(quarantine.MOST_LOSSES):
+        for request in range(quarantine.MAX_LOST_REQUESTS):
             sign = (number << 32) + request
-            asked = content.RequestSigns(sign, sign + (1 << 24), sign + (2 << 24))
-            ledger.note_lost(f"i-{number:010x}", asked, 1.0)
-        ledger.note_ended(f"i-{number:010x}", 1.0)
-    peer = crash_news.CrashNewsPeer(ledger)
+            asked = request_content.RequestFingerprints(sign, sign + (1 << 24), sign + (2 << 24))
+            ledger.record_lost_request(f"i-{number:010x}", asked, 1.0)
+        ledger.record_process_exit(f"i-{number:010x}", 1.0)
+    peer = crash_updates.CrashUpdatePeer(ledger)
     sizes = []
     while (message := peer.news(2.0)) is not None:
         sizes.append(message.ByteSize())
@@ -94,9 +96,9 @@
 
 def test_a_node_that_starts_is_told_thousands_of_quarantines_in_a_few_messages() -> None:
     ledger = quarantine.QuarantineLedger("n")
-    kept = [quarantine_news.Quarantine(number << 40, 0, 1.0, 900.0) for number in range(3_000)]
+    kept = [quarantine_updates.Quarantine(number << 40, 0, 1.0, 900.0) for number in range(3_000)]
     ledger.take(kept, "store", 2.0)
-    peer = crash_news.CrashNewsPeer(ledger)
+    peer = crash_updates.CrashUpdatePeer(ledger)
     sizes = []
     while (message := peer.news(2.0)) is not None:
         sizes.append(message.ByteSize())
@@ -122,7 +124,7 @@
             host, _ = test_telling.leader()
             host._state = state
             listener = followers.FollowerConnections(
-                address, "z1", host, news.StoreNews(()), test_telling.TIMING
+                address, "z1", host, table_exchange.TableExchange(()), test_telling.TIMING
             )
             tasks.start_soon(listener.serve)
             gossip = crash_gossip.CrashGossip(state, lambda: False, "127.0.0.1")
@@ -140,11 +142,11 @@
     (port,) = processes.free_ports(1)
     host, state = test_telling.leader()
     connections = followers.FollowerConnections(
-        f"127.0.0.1:{port}", "z1", host, news.StoreNews(()), test_telling.TIMING
+        f"127.0.0.1:{port}", "z1", host, table_exchange.TableExchange(()), test_telling.TIMING
     )
     told = quarantine.QuarantineLedger("other")
     convicting(told, 0.0)
-    message = crash_news.CrashNewsPeer(told).news(0.0)
+    message = crash_updates.CrashUpdatePeer(told).news(0.0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(connections.serve)
         await polling.until(lambda: not processes.is_free("127.0.0.1", port))
@@ -180,14 +182,14 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         if self.away:
             raise StoreUnavailable("away")
         if conditions[0].version != self.leader_version:
             raise ConditionFailed(())
         self.value = writes[0].value
         self.writes += 1
-        return Written(8, self.now)
+        return WriteResult(8, self.now)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
         raise NotImplementedError
@@ -250,7 +252,7 @@
     now = clock.steady_clock()
     left = started.refused_for(BAD, now)
     assert left is not None
-    assert left > quarantine.FIRST_SPAN - 5.0
+    assert left > quarantine.BASE_QUARANTINE_TIME - 5.0
 
 
 async def test_a_node_that_is_told_by_a_leader_does_not_ask_the_store() -> None:
@@ -296,6 +298,6 @@
     state.directory.put(Backend("b", "s", "127.0.0.1:1", "z1", 2), 0.0)
     found = state.directory.find("b")
     assert found is not None
-    found.note_ended(1.0)
-    assert found.is_passed_over(1.1)
-    assert not found.is_passed_over(2.0)
+    found.record_process_exit(1.0)
+    assert found.is_ejected(1.1)
+    assert not found.is_ejected(2.0)
--- a/tests/unit/test_crash_watch.py
+++ b/tests/unit/test_crash_watch.py
@@ -6,14 +6,14 @@
 import pytest
 
 from limedeck import http_client
-from limedeck.forwarding import budget, content
+from limedeck.forwarding import budget, request_content
 from limedeck.model import Backend
 from limedeck.node import crash_watch, state, telemetry
 from limedeck_lab import processes
 from tests.unit import polling
 
 pytestmark = pytest.mark.anyio
-ASKED = content.RequestContent(b"GET", "h", b"/x", "127.0.0.1", b"")
+ASKED = request_content.RequestContent(b"GET", "h", b"/x", "127.0.0.1", b"")
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watch.run)
         await anyio.wait_all_tasks_blocked()
-        watch.note_lost(backend, ASKED)
+        watch.record_lost_request(backend, ASKED)
         await polling.until(lambda: node.quarantine.suspects_any)
         tasks.cancel_scope.cancel()
 
@@ -62,7 +62,7 @@
         tasks.start_soon(watch.run)
         await anyio.wait_all_tasks_blocked()
         for _ in range(50):
-            watch.note_lost(backend, ASKED)
+            watch.record_lost_request(backend, ASKED)
         await polling.until(lambda: taken >= len(crash_watch.LOOKS))
         await anyio.sleep(0.1)
         tasks.cancel_scope.cancel()
--- a/tests/unit/test_deadly_requests.py
+++ b/tests/unit/test_deadly_requests.py
@@ -17,7 +17,7 @@
 from hypothesis import settings, stateful, strategies
 
 from limedeck import clock, http_client
-from limedeck.forwarding import budget, content, crashes, quarantine, request_guard
+from limedeck.forwarding import budget, crashes, quarantine, request_content, request_guard
 from limedeck.model import Backend
 from limedeck.node import crash_watch, state, telemetry
 
@@ -37,13 +37,13 @@
         self.now = clock.steady_clock()
         self._names = (f"b{number}" for number in itertools.count())
 
-    def end(self, *lost: content.RequestContent, back_end: str = "") -> None:
+    def end(self, *lost: request_content.RequestContent, back_end: str = "") -> None:
         """A back end ends with these requests under way; a second later all is judged."""
         name = back_end or next(self._names)
         backend = Backend(name, "s", "127.0.0.1:1", "z1", 3)
         for asked in lost:
-            self.watch.note_lost(backend, asked)
-        self.node.quarantine.note_ended(name, self.now)
+            self.watch.record_lost_request(backend, asked)
+        self.node.quarantine.record_process_exit(name, self.now)
         self.pass_time(1.0)
 
     def pass_time(self, seconds: float) -> None:
@@ -51,11 +51,11 @@
         self.now += seconds
         self.node.quarantine.handle_tick(self.now)
 
-    def serve(self, asked: content.RequestContent) -> None:
+    def serve(self, asked: request_content.RequestContent) -> None:
         """A back end has answered this request."""
-        request_guard.RequestGuard(self.node.quarantine, asked).note_served(self.now)
+        request_guard.RequestGuard(self.node.quarantine, asked).record_served(self.now)
 
-    def refuses(self, asked: content.RequestContent) -> bool:
+    def refuses(self, asked: request_content.RequestContent) -> bool:
         """Whether the node refuses this request now."""
         guard = request_guard.RequestGuard(self.node.quarantine, asked)
         return guard.refused_for(self.now) is not None
@@ -68,8 +68,10 @@
     return told
 
 
-def asked_by(caller: int, target: bytes = b"/x", body: bytes = BODY) -> content.RequestContent:
-    return content.RequestContent(b"POST", "h", target, f"10.0.0.{caller}", body)
+def asked_by(
+    caller: int, target: bytes = b"/x", body: bytes = BODY
+) -> request_content.RequestContent:
+    return request_content.RequestContent(b"POST", "h", target, f"10.0.0.{caller}", body)
 
 
 def test_what_ends_back_ends_whoever_sends_it_is_refused_to_all(story: Story) -> None:
@@ -146,11 +148,11 @@
         lost = [asked_by(20 * number + caller, b"/hot") for caller in range(20)]
         backend = Backend(f"b{number}", "s", "127.0.0.1:1", "z1", 3)
         for asked in lost:
-            story.watch.note_lost(backend, asked)
+            story.watch.record_lost_request(backend, asked)
         story.now += 0.002
-        story.node.quarantine.note_ended(backend.backend_id, story.now)
+        story.node.quarantine.record_process_exit(backend.backend_id, story.now)
     guard = request_guard.RequestGuard(story.node.quarantine, asked_by(9, b"/hot"))
-    assert guard.held_until(story.now) is None
+    assert guard.blocked_until(story.now) is None
     story.pass_time(1.0)
     assert not story.refuses(asked_by(9, b"/hot"))
 
@@ -173,7 +175,7 @@
     def draw(self, width: str) -> None:
         self.width = width
 
-    def deadly(self, caller: int, body: int) -> content.RequestContent:
+    def deadly(self, caller: int, body: int) -> request_content.RequestContent:
         match self.width:
             case "target":
                 return asked_by(caller, b"/deadly", b"%d" % body)
@@ -182,13 +184,13 @@
             case _:
                 return asked_by(1, b"/deadly")
 
-    def is_deadly(self, asked: content.RequestContent) -> bool:
+    def is_deadly(self, asked: request_content.RequestContent) -> bool:
         return asked.target == b"/deadly" and (
             self.width == "target"
             or (asked.body == BODY and (self.width == "content" or asked.caller == "10.0.0.1"))
         )
 
-    def refused(self, asked: content.RequestContent) -> bool:
+    def refused(self, asked: request_content.RequestContent) -> bool:
         guard = request_guard.RequestGuard(self.ledger, asked)
         return guard.refused_for(self.now) is not None
 
@@ -207,12 +209,12 @@
             return
         name = next(self.names)
         for item in (asked, *innocents):
-            self.ledger.note_lost(name, item.signs, self.now)
-        self.ledger.note_ended(name, self.now)
+            self.ledger.record_lost_request(name, item.fingerprints, self.now)
+        self.ledger.record_process_exit(name, self.now)
         self.ends += 1
         self.now += 0.5
         for item in innocents:
-            request_guard.RequestGuard(self.ledger, item).note_served(self.now)
+            request_guard.RequestGuard(self.ledger, item).record_served(self.now)
         self.now += 0.5
         self.ledger.handle_tick(self.now)
 
@@ -221,7 +223,7 @@
         """Others are served at the target, if it is not the target itself that ends back ends."""
         asked = asked_by(caller, b"/deadly", b"other %d" % body)
         if not self.is_deadly(asked) and not self.refused(asked):
-            request_guard.RequestGuard(self.ledger, asked).note_served(self.now)
+            request_guard.RequestGuard(self.ledger, asked).record_served(self.now)
         self.now += 0.2
 
     @stateful.invariant()
@@ -246,12 +248,12 @@
     evidence = crashes.CrashEvidence()
     reads = 0
 
-    class CountedSigns(content.RequestSigns):
+    class CountedSigns(request_content.RequestFingerprints):
         @property
-        def narrowest_first(self) -> tuple[int, int, int]:
+        def from_narrowest(self) -> tuple[int, int, int]:
             nonlocal reads
             reads += 1
-            return super().narrowest_first
+            return super().from_narrowest
 
     for end in range(crashes.MOST_CRASHES):
         lost = [
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -6,12 +6,12 @@
 
 from limedeck import staggering
 from limedeck.api.control_pb2 import LeaderRecord
-from limedeck.ownership import standing
+from limedeck.ownership import candidate_priority
 from limedeck.ownership.election import (
     Campaign,
     Confirm,
     ElectionCore,
-    LeaderSeen,
+    LeaderReadResult,
     ReadLeader,
     Role,
     Suspicion,
@@ -25,7 +25,7 @@
 
 def follower_of_other(now: float = 100.0) -> ElectionCore:
     core = ElectionCore(ME, TIMING, now)
-    core.handle_seen(LeaderSeen(OTHER, 40, 0.1), now)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), now)
     return core
 
 
@@ -40,7 +40,7 @@
     return None, now
 
 
-def campaign_of(core: ElectionCore, seen: LeaderSeen, since: float) -> tuple[Campaign, float]:
+def campaign_of(core: ElectionCore, seen: LeaderReadResult, since: float) -> tuple[Campaign, float]:
     """Answer each reading of the rows alike until the core campaigns."""
     now = since
     for _ in range(10):
@@ -48,7 +48,7 @@
         if isinstance(command, Campaign):
             return command, now
         assert isinstance(command, ReadLeader)
-        core.handle_seen(seen, now)
+        core.handle_leader_read(seen, now)
     raise AssertionError("it never campaigned")
 
 
@@ -56,11 +56,11 @@
     core = ElectionCore(ME, TIMING, 0.0)
     command, now = next_command(core, 0.0, 2.0)
     assert command == ReadLeader(Suspicion.NO_RECORD)
-    core.handle_seen(LeaderSeen(None, 0, None), now)
+    core.handle_leader_read(LeaderReadResult(None, 0, None), now)
     command, now = next_command(core, now, now + 2.0)
     assert isinstance(command, Campaign)
     assert (command.record.term, command.row_version) == (1, 0)
-    core.handle_won(command.record, 7, now)
+    core.handle_elected(command.record, 7, now)
     assert core.role is Role.LEADER
     command, now = next_command(core, now, now + 2.0)
     assert command == Confirm(1, 7)
@@ -87,17 +87,17 @@
     core = follower_of_other()
     command, now = next_command(core, 100.0, 103.0)
     assert command == ReadLeader(Suspicion.SILENT)
-    core.handle_seen(LeaderSeen(OTHER, 40, 0.3), now)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.3), now)
     command, later = next_command(core, now, now + 1.0)
     assert isinstance(command, ReadLeader)
-    core.handle_seen(LeaderSeen(OTHER, 40, 0.3), later)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.3), later)
     assert core.role is Role.FOLLOWER
 
 
 def test_a_silent_leader_with_an_old_confirmation_is_replaced() -> None:
     core = follower_of_other()
     _, now = next_command(core, 100.0, 103.0)
-    core.handle_seen(LeaderSeen(OTHER, 40, TIMING.stale_confirmation + 0.1), now)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, TIMING.stale_confirmation + 0.1), now)
     command, now = next_command(core, now, now + 0.3)
     assert isinstance(command, Campaign)
     assert (command.record.term, command.row_version) == (5, 40)
@@ -107,9 +107,9 @@
     """Found on trouble-1: every winner stayed a follower, and the term rose four times a second."""
     core = follower_of_other()
     core.handle_denial(4, 99, False)
-    command, now = campaign_of(core, LeaderSeen(OTHER, 40, 0.1), 100.0)
+    command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
     assert now < 100.6
-    core.handle_won(command.record, 41, now)
+    core.handle_elected(command.record, 41, now)
     assert core.role is Role.LEADER
 
 
@@ -122,7 +122,7 @@
 def test_a_resigned_leader_is_replaced_at_once() -> None:
     core = follower_of_other()
     core.handle_denial(4, OTHER.incarnation, True)
-    command, now = campaign_of(core, LeaderSeen(OTHER, 40, 0.1), 100.0)
+    command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
     assert command.why is Suspicion.DENIED
     assert now < 100.6
 
@@ -136,12 +136,12 @@
 def test_a_win_whose_answer_was_lost_is_found_in_the_record() -> None:
     core = follower_of_other()
     core.handle_denial(4, 99, False)
-    command, now = campaign_of(core, LeaderSeen(OTHER, 40, 0.1), 100.0)
+    command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
     assert now < 100.6
-    core.handle_no_answer(now)
+    core.handle_store_failure(now)
     command_after, now = next_command(core, now + 0.1, now + 2.0)
     assert isinstance(command_after, ReadLeader)
-    core.handle_seen(LeaderSeen(command.record, 41, None), now)
+    core.handle_leader_read(LeaderReadResult(command.record, 41, None), now)
     assert core.role is Role.LEADER
 
 
@@ -149,7 +149,7 @@
     core = ElectionCore(ME, TIMING, 0.0)
     earlier = LeaderRecord(term=3, node_id="node-a", incarnation=10)
     _, now = next_command(core, 0.0, 1.0)
-    core.handle_seen(LeaderSeen(earlier, 9, 0.05), now)
+    core.handle_leader_read(LeaderReadResult(earlier, 9, 0.05), now)
     assert core.role is Role.FOLLOWER
     command, _ = next_command(core, now, now + 1.0)
     assert isinstance(command, Campaign)
@@ -158,14 +158,14 @@
 
 def test_a_leader_that_lost_its_row_follows() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
-    core.handle_won(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
-    core.handle_seen(LeaderSeen(OTHER, 40, None), 1.0)
+    core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, None), 1.0)
     assert core.role is Role.FOLLOWER
 
 
 def test_renewals_end_when_the_store_is_silent_for_long() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
-    core.handle_won(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
+    core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
     assert core.may_renew(TIMING.leader_patience - 0.1)
     assert not core.may_renew(TIMING.leader_patience + 0.1)
     core.handle_confirmed(10.0)
@@ -175,18 +175,18 @@
 def test_a_leader_that_misses_the_store_is_followed_by_a_strong_machine() -> None:
     """Found on zhbs-gate-large trouble-1: two weak machines led in turn, for three seconds each."""
     processors = [2.15 if number % 13 == 0 else 0.43 for number in range(195)]
-    fleet = standing.fleet_of(processors)
-    row = LeaderSeen(OTHER, 40, 5.0)
+    fleet = candidate_priority.describe_fleet(processors)
+    row = LeaderReadResult(OTHER, 40, 5.0)
     stood: list[tuple[float, int]] = []
     for number, processor in enumerate(processors):
         identity = LeaderRecord(node_id=f"node-{number}", incarnation=number + 100)
         core = ElectionCore(identity, TIMING, 0.0, processor)
-        core.handle_seen(row, 0.0)
+        core.handle_leader_read(row, 0.0)
         silence = 1.0
         while not isinstance(command := core.handle_tick(silence), Campaign):
             core.handle_heartbeat(OTHER.term, silence, silence, fleet)
             if command is not None:
-                core.handle_seen(row, silence)
+                core.handle_leader_read(row, silence)
             silence = round(silence + 0.05, 2)
             assert silence < 15.0
         stood.append((silence, number))
@@ -198,20 +198,20 @@
 
 
 def test_machines_that_are_all_weak_do_not_wait_for_strong_ones() -> None:
-    equal = standing.Standing(0.43, TIMING.weakness_delay)
-    equal.fleet = standing.fleet_of([0.43] * 78)
+    equal = candidate_priority.CandidatePriority(0.43, TIMING.weakness_delay)
+    equal.fleet = candidate_priority.describe_fleet([0.43] * 78)
     assert equal.handicap == 0.0
     assert equal.turn(0.0) == 0.0
-    weak = standing.Standing(0.43, TIMING.weakness_delay)
-    weak.fleet = standing.fleet_of([0.43, 2.15, 2.15])
+    weak = candidate_priority.CandidatePriority(0.43, TIMING.weakness_delay)
+    weak.fleet = candidate_priority.describe_fleet([0.43, 2.15, 2.15])
     assert weak.turn(0.0) > max(staggering.delay(1.0, 2), 0.0)
 
 
 def test_a_leader_that_misses_the_store_is_replaced_if_its_confirmation_is_old() -> None:
     core = follower_of_other()
     core.handle_heartbeat(4, TIMING.cut_leader_patience + 0.1, 100.2)
-    command, _ = campaign_of(core, LeaderSeen(OTHER, 40, 2.5), 100.2)
-    assert command.why is Suspicion.MISSES_STORE
+    command, _ = campaign_of(core, LeaderReadResult(OTHER, 40, 2.5), 100.2)
+    assert command.why is Suspicion.STORE_UNREACHABLE
 
 
 def test_a_winner_names_those_that_may_still_renew_until_they_are_over() -> None:
@@ -221,13 +221,13 @@
     earlier.CopyFrom(OTHER)
     earlier.former.add(node_id="node-c", incarnation=5)
     earlier.former.add(node_id="node-a", incarnation=3)
-    command, now = campaign_of(core, LeaderSeen(earlier, 40, 0.1), 101.0)
+    command, now = campaign_of(core, LeaderReadResult(earlier, 40, 0.1), 101.0)
     assert [(item.node_id, item.incarnation) for item in command.record.former] == [
         ("node-c", 5),
         ("node-b", 22),
     ]
-    core.handle_won(command.record, 41, now)
-    core.handle_former_over(core.former_leaders()[1])
+    core.handle_elected(command.record, 41, now)
+    core.handle_former_leader_ended(core.former_leaders()[1])
     assert [item.node_id for item in core.former_leaders()] == ["node-c"]
 
 
@@ -236,27 +236,27 @@
     core = ElectionCore(ME, TIMING, 0.0)
     first = LeaderRecord(term=3, node_id="node-a", incarnation=11)
     first.former.add(node_id="node-b", incarnation=22, term=2)
-    core.handle_won(first, 30, 0.0)
-    core.handle_former_over(core.former_leaders()[0])
+    core.handle_elected(first, 30, 0.0)
+    core.handle_former_leader_ended(core.former_leaders()[0])
     assert core.former_leaders() == []
     second = LeaderRecord(term=5, node_id="node-a", incarnation=11)
     second.former.add(node_id="node-b", incarnation=22, term=4)
-    core.handle_won(second, 50, 9.0)
+    core.handle_elected(second, 50, 9.0)
     assert [item.term for item in core.former_leaders()] == [4]
 
 
 def test_a_late_win_of_a_term_that_was_said_to_be_over_is_not_taken_up() -> None:
     core = follower_of_other()
     core.handle_denial(4, 99, False)
-    command, now = campaign_of(core, LeaderSeen(OTHER, 40, 0.1), 101.0)
+    command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 101.0)
     core.handle_superseded(6)
-    core.handle_won(command.record, 41, now)
+    core.handle_elected(command.record, 41, now)
     assert core.role is Role.FOLLOWER
 
 
 def test_a_leader_that_hears_of_a_later_term_stops() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
-    core.handle_won(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
+    core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
     core.handle_superseded(3)
     assert core.role is Role.LEADER
     core.handle_superseded(4)
@@ -268,7 +268,7 @@
     waits = {}
     for processor in (0.43, 1.0, 2.15):
         core = ElectionCore(ME, TIMING, 0.0, processor)
-        core.handle_seen(LeaderSeen(OTHER, 40, 0.0), 0.0)
+        core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.0), 0.0)
         core.handle_heartbeat(OTHER.term, 0.0, 0.0)
         now = 0.0
         while core.handle_tick(now) is None:
@@ -290,22 +290,22 @@
         )
         for number in range(195)
     }
-    row = LeaderSeen(OTHER, 40, 0.1)
+    row = LeaderReadResult(OTHER, 40, 0.1)
     for core in cores.values():
-        core.handle_seen(row, 0.0)
+        core.handle_leader_read(row, 0.0)
         core.handle_denial(OTHER.term, OTHER.incarnation, True)
     resigned = ElectionCore(OTHER, TIMING, 0.0)
-    resigned.handle_seen(row, 0.0)
+    resigned.handle_leader_read(row, 0.0)
     resigned.resign()
     campaigns = 0
     readings = 0
     for step in range(20):
         now = step * 0.05
         if isinstance(resigned.handle_tick(now), ReadLeader):
-            resigned.handle_seen(row, now)
+            resigned.handle_leader_read(row, now)
         if resigned.term > OTHER.term and resigned.record is not None:
             for core in cores.values():
-                core.handle_told(resigned.record, resigned.row_version, now)
+                core.handle_peer_record(resigned.record, resigned.row_version, now)
         asked = {name: core.handle_tick(now) for name, core in cores.items()}
         candidacies = {
             name: command for name, command in asked.items() if isinstance(command, Campaign)
@@ -314,10 +314,10 @@
         readings += sum(isinstance(command, ReadLeader) for command in asked.values())
         for name, command in asked.items():
             if isinstance(command, Campaign) and command.row_version == row.row_version:
-                row = LeaderSeen(command.record, row.row_version + 1, 0.0)
-                cores[name].handle_won(command.record, row.row_version, now)
+                row = LeaderReadResult(command.record, row.row_version + 1, 0.0)
+                cores[name].handle_elected(command.record, row.row_version, now)
             elif command is not None and not isinstance(command, Confirm):
-                cores[name].handle_seen(row, now)
+                cores[name].handle_leader_read(row, now)
     leaders = [name for name, core in cores.items() if core.role is Role.LEADER]
     assert len(leaders) == 1
     assert int(leaders[0].removeprefix("node-")) % 13 == 0
@@ -329,10 +329,10 @@
 
 def test_an_older_record_that_another_node_tells_is_not_taken_up() -> None:
     core = follower_of_other()
-    core.handle_told(LeaderRecord(term=3, node_id="node-c", incarnation=9), 39, 100.1)
-    core.handle_told(LeaderRecord(term=5, node_id="node-c", incarnation=9), 40, 100.1)
+    core.handle_peer_record(LeaderRecord(term=3, node_id="node-c", incarnation=9), 39, 100.1)
+    core.handle_peer_record(LeaderRecord(term=5, node_id="node-c", incarnation=9), 40, 100.1)
     assert core.record == OTHER
-    core.handle_told(LeaderRecord(term=5, node_id="node-c", incarnation=9), 41, 100.1)
+    core.handle_peer_record(LeaderRecord(term=5, node_id="node-c", incarnation=9), 41, 100.1)
     assert core.record is not None
     assert core.record.node_id == "node-c"
 
@@ -343,7 +343,7 @@
     mine = LeaderRecord()
     mine.CopyFrom(ME)
     mine.term = 5
-    core.handle_told(mine, 41, 100.1)
+    core.handle_peer_record(mine, 41, 100.1)
     assert core.role is Role.LEADER
 
 
@@ -353,7 +353,7 @@
     record = LeaderRecord()
     record.CopyFrom(ME)
     record.term = 1
-    core.handle_won(record, 50, now)
+    core.handle_elected(record, 50, now)
     assert core.role is Role.LEADER
     return core
 
@@ -376,27 +376,27 @@
 
 def test_a_leader_that_has_yielded_lets_others_stand_first() -> None:
     core = leader_at(10.0)
-    core.yield_office(15.0)
+    core.yield_leadership(15.0)
     assert core.role is Role.FOLLOWER
-    assert core.stands_aside(15.0)
+    assert core.is_ineligible(15.0)
     now = 15.0
     while now < 15.0 + TIMING.yield_rest:
         command = core.handle_tick(now)
         assert not isinstance(command, Campaign)
         if isinstance(command, ReadLeader):
-            core.handle_seen(LeaderSeen(core.record, 50, 0.1), now)
+            core.handle_leader_read(LeaderReadResult(core.record, 50, 0.1), now)
             assert core.role is Role.FOLLOWER
         now += 0.05
-    core.handle_seen(LeaderSeen(OTHER, 60, 0.1), now)
+    core.handle_leader_read(LeaderReadResult(OTHER, 60, 0.1), now)
     assert core.role is Role.FOLLOWER
     assert core.term == OTHER.term
 
 
 def test_a_leader_that_has_yielded_leads_again_if_nobody_else_does() -> None:
     core = leader_at(10.0)
-    core.yield_office(15.0)
-    seen = LeaderSeen(core.record, 50, 0.1)
+    core.yield_leadership(15.0)
+    seen = LeaderReadResult(core.record, 50, 0.1)
     command, now = campaign_of(core, seen, 15.0 + TIMING.yield_rest)
-    core.handle_won(command.record, 51, now)
+    core.handle_elected(command.record, 51, now)
     assert core.role is Role.LEADER
-    assert not core.stands_aside(now)
+    assert not core.is_ineligible(now)
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from limedeck.forwarding.commands import Reason
+from limedeck.forwarding.commands import RefusalReason
 from limedeck.ownership.election import Suspicion
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 from limedeck.routing.outcomes import FailurePhase, Outcome
 from limedeck_lab.explain import meanings
 from limedeck_lab.explain.log_lines import LogLine, UnreadableLogs, read_logs
@@ -177,9 +177,9 @@
     ("kind", "known"),
     [
         (Outcome, meanings.OUTCOMES),
-        (Reason, meanings.REASONS),
+        (RefusalReason, meanings.REASONS),
         (FailurePhase, meanings.PHASES),
-        (Cause, meanings.CAUSES),
+        (OwnerChangeCause, meanings.CAUSES),
         (Suspicion, meanings.SUSPICIONS),
     ],
 )
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -49,8 +49,8 @@
             for node in self.nodes:
                 if node.group is not None and self._random.random() < STEP / HEARTBEAT:
                     node.size.note(groups.count(node.group), self.now)
-                sharers = node.size.sharers(WINDOW, self.now)
-                while node.budget.try_take(self.now, sharers):
+                sharing_nodes = node.size.sharing_nodes(WINDOW, self.now)
+                while node.budget.try_acquire(self.now, sharing_nodes):
                     self.taken.append(self.now)
 
     def most_taken(self) -> int:
@@ -138,10 +138,10 @@
     size = FleetSize()
     for second in range(20):
         size.note(3, float(second))
-    assert size.sharers(WINDOW, 19.0) == 3
-    assert size.sharers(WINDOW, 19.1 + HEARD_LIFE) == 0
+    assert size.sharing_nodes(WINDOW, 19.0) == 3
+    assert size.sharing_nodes(WINDOW, 19.1 + HEARD_LIFE) == 0
     size.note(3, 30.0)
-    assert size.sharers(WINDOW, 31.0) == 0
+    assert size.sharing_nodes(WINDOW, 31.0) == 0
     for second in range(30, 42):
         size.note(3, float(second))
-    assert size.sharers(WINDOW, 41.0) == 3
+    assert size.sharing_nodes(WINDOW, 41.0) == 3
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -9,14 +9,21 @@
 
 from limedeck.forwarding.availability import OWNER_STOP
 from limedeck.forwarding.backend_state import BackendState
-from limedeck.forwarding.backends import BackendDirectory, Contact
+from limedeck.forwarding.backends import BackendDirectory, Endpoint
 from limedeck.forwarding.budget import MARGIN, RetryAllowance, RetryBudget
-from limedeck.forwarding.commands import AskPermit, Attempt, Command, Reason, Refuse, Wait
+from limedeck.forwarding.commands import (
+    Attempt,
+    Command,
+    RefusalReason,
+    Refuse,
+    RequestPermit,
+    Wait,
+)
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
+from limedeck.forwarding.request_cost import FEWEST_SAMPLES
 from limedeck.forwarding.routes import RouteIndex, choose_service
-from limedeck.forwarding.work import FEWEST_SAMPLES
 from limedeck.model import Backend, Configuration, Route, Target
 from limedeck.routing.outcomes import FailurePhase, Outcome
 
@@ -73,8 +80,8 @@
 def test_retries_keep_to_the_ratio_and_this_nodes_slack() -> None:
     budget = RetryBudget(ALLOWANCE)
     for _ in range(100):
-        budget.note_request(5.0)
-    taken = sum(budget.try_take(5.0, 3) for _ in range(1000))
+        budget.record_request(5.0)
+    taken = sum(budget.try_acquire(5.0, 3) for _ in range(1000))
     assert taken == int(MARGIN * (0.2 * 100 + 30 / 3))
 
 
@@ -83,8 +90,8 @@
     taken_at: list[float] = []
     for step in range(600):
         now = step * 0.1
-        budget.note_request(now)
-        taken_at += [now for _ in range(3) if budget.try_take(now, 1)]
+        budget.record_request(now)
+        taken_at += [now for _ in range(3) if budget.try_acquire(now, 1)]
     for start in range(50):
         inside = [at for at in taken_at if start <= at < start + 10.0]
         assert len(inside) <= 0.2 * 101 + 30
@@ -93,11 +100,11 @@
 def test_retries_late_in_a_piece_are_not_forgotten_with_its_begin() -> None:
     """Three nodes took 212 of 188 in a window: each had its share again after nine tenths of it."""
     budget = RetryBudget(RetryAllowance(0.0, 20.0, 10.0))
-    budget.note_request(0.0)
-    taken = [0.9 for _ in range(100) if budget.try_take(0.9, 1)]
-    taken += [10.0 for _ in range(100) if budget.try_take(10.0, 1)]
+    budget.record_request(0.0)
+    taken = [0.9 for _ in range(100) if budget.try_acquire(0.9, 1)]
+    taken += [10.0 for _ in range(100) if budget.try_acquire(10.0, 1)]
     assert len(taken) <= 20
-    assert budget.try_take(12.0, 1)
+    assert budget.try_acquire(12.0, 1)
 
 
 # ---------------------------------------------------------------------- back ends
@@ -119,7 +126,7 @@
         directory.put(backend(name), 0.0)
     loaded = directory.find("a")
     assert loaded is not None
-    loaded.note_load(LoadReport(running=2, waiting=6, slots=2), 10.0)
+    loaded.record_load(LoadReport(running=2, waiting=6, slots=2), 10.0)
     picks = {directory.choose("s", (), b"%d" % n, 10.1).backend.backend_id for n in range(50)}  # type: ignore[union-attr]
     assert picks == {"bb"}
     picks = {directory.choose("s", (), b"%d" % n, 20.0).backend.backend_id for n in range(50)}  # type: ignore[union-attr]
@@ -140,8 +147,8 @@
     directory.put(backend("bb"), 0.0)
     failing = directory.find("a")
     assert failing is not None
-    failing.note_failure(1.0)
-    failing.note_failure(1.0)
+    failing.record_failure(1.0)
+    failing.record_failure(1.0)
     assert directory.choose("s", (), b"1", 1.1).backend.backend_id == "bb"  # type: ignore[union-attr]
     assert failing.ejected_until < 2.0
 
@@ -153,8 +160,8 @@
     for name, left in (("a", {"b", "c", "d"}), ("b", {"c", "d"}), ("c", {"a", "b", "c", "d"})):
         failing = directory.find(name)
         assert failing is not None
-        failing.note_failure(1.0)
-        failing.note_failure(1.0)
+        failing.record_failure(1.0)
+        failing.record_failure(1.0)
         found = [directory.choose("s", (), b"%d" % number, 1.1) for number in range(80)]
         assert {state.backend.backend_id for state in found if state} == left
 
@@ -164,7 +171,7 @@
     directory.put(backend("a"), 0.0)
     directory.remove("a")
     assert directory.find("a") is None
-    assert directory.last_contact("a") == Contact("127.0.0.1:1", "a")
+    assert directory.last_endpoint("a") == Endpoint("127.0.0.1:1", "a")
 
 
 # ---------------------------------------------------------------------- owners
@@ -238,7 +245,7 @@
     assert isinstance(play.fail(FailurePhase.REFUSED), Attempt)
     last = play.fail(FailurePhase.REFUSED, 10.2)
     assert isinstance(last, Refuse)
-    assert (last.outcome, last.reason) == (Outcome.NOT_RUN, Reason.REFUSED)
+    assert (last.outcome, last.reason) == (Outcome.NOT_RUN, RefusalReason.REFUSED)
     assert last.retry_after > 0
 
 
@@ -277,7 +284,7 @@
     assert first.until == 10.8
     last = play.fail(FailurePhase.AWAITING, 10.8)
     assert isinstance(last, Refuse)
-    assert last.reason is Reason.TIMED_OUT
+    assert last.reason is RefusalReason.TIMED_OUT
 
 
 def test_a_keyed_request_goes_to_its_owner_only() -> None:
@@ -316,7 +323,7 @@
     play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=12.0),))
     refused = play.start(10.0)
     assert isinstance(refused, Refuse)
-    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, Reason.NO_OWNER)
+    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.NO_OWNER)
     assert 2.0 < refused.retry_after < 3.0
     assert isinstance(play.start(11.9), Refuse)
 
@@ -343,7 +350,7 @@
     owner = play.directory.find("b")
     assert owner is not None
     for _ in range(FEWEST_SAMPLES):
-        owner.note_answer(0.1, LoadReport(0, 0, 2), 9.0, "/a/")
+        owner.record_response(0.1, LoadReport(0, 0, 2), 9.0, "/a/")
     play.start()
     refused = play.fail(phase, 10.01)
     assert isinstance(refused, Refuse)
@@ -362,7 +369,7 @@
     assert isinstance(play.core.next_command(waiting.until, 1), Attempt)
     refused = play.fail(FailurePhase.NOT_CONNECTED, 10.2)
     assert isinstance(refused, Refuse)
-    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, Reason.UNREACHABLE)
+    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.UNREACHABLE)
     assert refused.retry_after >= 0.5
 
 
@@ -375,7 +382,7 @@
         now = command.until
         command = play.core.next_command(now, 1)
     assert isinstance(command, Refuse)
-    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, Reason.NO_OWNER)
+    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.NO_OWNER)
     assert now <= 10.41
 
 
@@ -384,7 +391,7 @@
     play.core.position = None
     command = play.start()
     assert isinstance(command, Refuse)
-    assert command.reason is Reason.BAD_KEY
+    assert command.reason is RefusalReason.BAD_KEY
 
 
 # ---------------------------------------------------------------------- early refusal
@@ -396,8 +403,8 @@
     state = directory.find("b1")
     assert state is not None
     for _ in range(FEWEST_SAMPLES):
-        state.note_answer(0.06, LoadReport(1, 0, 2), reported, route().name)
-    state.note_load(LoadReport(running, waiting, 2), reported)
+        state.record_response(0.06, LoadReport(1, 0, 2), reported, route().name)
+    state.record_load(LoadReport(running, waiting, 2), reported)
     view = ServiceView("s", True, RetryBudget(ALLOWANCE))
     view.owners = OwnerMap(1, (OwnedRange(0, 99, "b1"),))
     return RequestCore(b"r", route(), view, directory, 5, now + 1.0, now)
@@ -414,7 +421,7 @@
     command = busy_owner(running, waiting, 10.0).next_command(10.0, 3)
     assert isinstance(command, Attempt) is sent
     if isinstance(command, Refuse):
-        assert (command.outcome, command.reason) == (Outcome.NOT_RUN, Reason.OVERLOADED)
+        assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.OVERLOADED)
         assert 0.05 < command.retry_after <= 1.0
 
 
@@ -451,7 +458,7 @@
 def returned_with(left: float, waiting: int) -> Command:
     """What a caller gets that has come back with so much time left, at an owner with a queue."""
     core = busy_owner(2, waiting, 10.0)
-    core.claim.returned = True
+    core.claim.is_client_retry = True
     core.claim.until = 10.0 + left
     return core.next_command(10.0, 3)
 
@@ -464,14 +471,14 @@
     """Otherwise the caller waits to its deadline for an answer that will not come."""
     command = returned_with(0.15, 8)
     assert isinstance(command, Refuse)
-    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, Reason.OVERLOADED)
+    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.OVERLOADED)
 
 
 def test_a_request_that_may_have_run_is_tried_whatever_time_is_left() -> None:
     """A refusal would promise that it has not run."""
     core = busy_owner(2, 8, 10.0)
     core.claim.until = 10.15
-    core.claim.maybe_run = True
+    core.claim.may_have_run = True
     assert isinstance(core.next_command(10.0, 3), Attempt)
 
 
@@ -484,7 +491,7 @@
     state = directory.find("a")
     assert state is not None
     for report in reports:
-        state.note_load(report, 1.0)
+        state.record_load(report, 1.0)
     return state
 
 
@@ -507,8 +514,8 @@
         directory.put(backend(name), 0.0)
         state = directory.find(name)
         assert state is not None
-        state.note_answer(0.1, LoadReport(0, 0, 2, pace), 1.0)
-        state.note_load(LoadReport(0, 0, 2, pace), 1.0)
+        state.record_response(0.1, LoadReport(0, 0, 2, pace), 1.0)
+        state.record_load(LoadReport(0, 0, 2, pace), 1.0)
     chosen = Counter(
         found.backend.backend_id
         for number in range(50)
@@ -527,19 +534,19 @@
     view.owners = OwnerMap(1, (OwnedRange(0, 9, "a"),))
     sent = RequestCore(b"1", route(), view, directory, 5, 9.0, 1.0)
     assert isinstance(sent.next_command(1.0, 3), Attempt)
-    state.note_load(LoadReport(3, 12, 3), 1.01)
+    state.record_load(LoadReport(3, 12, 3), 1.01)
     sent.handle_failure(FailurePhase.REFUSED, 1.01, 3)
     other = RequestCore(b"2", route(), view, directory, 5, 9.0, 1.02)
     refused = other.next_command(1.02, 3)
     assert isinstance(refused, Refuse)
-    assert (refused.reason, refused.outcome) == (Reason.OVERLOADED, Outcome.NOT_RUN)
+    assert (refused.reason, refused.outcome) == (RefusalReason.OVERLOADED, Outcome.NOT_RUN)
     later = RequestCore(b"3", route(), view, directory, 5, 9.0, 1.5)
     assert isinstance(later.next_command(1.5, 3), Attempt)
 
 
 def test_one_that_turns_requests_away_with_room_fails_and_is_not_full() -> None:
     state = told_state(LoadReport(1, 0, 3))
-    state.note_full(1.0)
+    state.record_queue_full(1.0)
     assert state.full_at is None
 
 
@@ -573,7 +580,7 @@
     assert directory.choose("s", (), b"1", 1.0) is None
     refused = command_for(ServiceView("s", False, RetryBudget(ALLOWANCE)), directory, 1.0)
     assert isinstance(refused, Refuse)
-    assert (refused.reason, refused.outcome) == (Reason.NO_BACKEND, Outcome.NOT_RUN)
+    assert (refused.reason, refused.outcome) == (RefusalReason.NO_BACKEND, Outcome.NOT_RUN)
     directory.availability.end_evacuation("z1")
     assert directory.choose("s", (), b"1", 1.0) is directory.find("a")
 
@@ -585,7 +592,7 @@
     assert isinstance(command_for(keyed_view("a"), directory, 1.5, 5), Attempt)
     refused = command_for(keyed_view("a"), directory, 1.0 + OWNER_STOP, 5)
     assert isinstance(refused, Refuse)
-    assert (refused.reason, refused.outcome) == (Reason.EVACUATED, Outcome.NOT_RUN)
+    assert (refused.reason, refused.outcome) == (RefusalReason.EVACUATED, Outcome.NOT_RUN)
 
 
 def test_a_leader_is_shown_evacuated_and_cold_back_ends_as_leaving() -> None:
@@ -632,7 +639,7 @@
     directory.put(cold("a", 3.0), 0.0)
     refused = command_for(keyed_view("a"), directory, 1.0, 5)
     assert isinstance(refused, Refuse)
-    assert (refused.reason, refused.outcome) == (Reason.COLD, Outcome.NOT_RUN)
+    assert (refused.reason, refused.outcome) == (RefusalReason.COLD, Outcome.NOT_RUN)
     assert 0.1 < refused.retry_after < 1.0
     assert isinstance(command_for(keyed_view("a"), directory, 3.1, 5), Attempt)
 
@@ -643,10 +650,10 @@
     directory.put(backend("a"), 0.0)
     state = directory.find("a")
     assert state is not None
-    state.note_ended(1.0)
+    state.record_process_exit(1.0)
     assert state.is_cold(4.9)
     assert not state.is_cold(5.1)
-    state.note_ended(6.0)
+    state.record_process_exit(6.0)
     directory.put(backend("a"), 6.5)
     assert not state.is_cold(6.6)
 
@@ -656,14 +663,14 @@
     directory.put(cold("a@1", 0.0, "a"), 0.0)
     former = directory.find("a@1")
     assert former is not None
-    former.note_failure(1.0)
-    former.note_load(LoadReport(3, 9, 3), 1.0)
+    former.record_failure(1.0)
+    former.record_load(LoadReport(3, 9, 3), 1.0)
     directory.put(cold("a@2", 3.0, "a"), 2.0)
     life = directory.find("a@2")
     assert life is not None
     assert directory.find("a@1") is None
     assert (life.failures, life.expected_load(2.0)) == (0, 0)
-    assert directory.last_contact("a@1") == directory.last_contact("a@2")
+    assert directory.last_endpoint("a@1") == directory.last_endpoint("a@2")
     assert directory.remove_instance("a") == "a@2"
     assert directory.of_service("s") == []
 
@@ -674,14 +681,14 @@
     directory.put(cold("a", 60.0), 0.0)
     view = ServiceView("s", False, RetryBudget(ALLOWANCE))
     asked = command_for(view, directory, 0.1, None)
-    assert isinstance(asked, AskPermit)
-    assert asked.ask.bound.rate == 4.0
+    assert isinstance(asked, RequestPermit)
+    assert asked.permit_request.bound.rate == 4.0
 
 
 def test_a_node_that_has_not_heard_how_many_share_the_slack_takes_none_of_it() -> None:
     """74 nodes that start at once would have taken it 25 times."""
     budget = RetryBudget(ALLOWANCE)
-    assert not budget.try_take(1.0, 0)
+    assert not budget.try_acquire(1.0, 0)
     for _ in range(100):
-        budget.note_request(1.0)
-    assert sum(budget.try_take(1.0, 0) for _ in range(100)) == int(MARGIN * 0.2 * 100)
+        budget.record_request(1.0)
+    assert sum(budget.try_acquire(1.0, 0) for _ in range(100)) == int(MARGIN * 0.2 * 100)
--- a/tests/unit/test_gateway.py
+++ b/tests/unit/test_gateway.py
@@ -11,7 +11,7 @@
 
 from limedeck import clock, http_client
 from limedeck.api import control_pb2
-from limedeck.forwarding import budget, content
+from limedeck.forwarding import budget, request_content
 from limedeck.identity import Seconds
 from limedeck.model import Backend, Configuration, Route, Service, Target
 from limedeck.node import (
@@ -46,11 +46,11 @@
 
     async def exchange(
         self, request: http_client.HttpRequest, until: Seconds
-    ) -> http_client.HttpAnswer:
+    ) -> http_client.HttpResponse:
         self.asked.append(request.address)
         self.watched.append(request.watched)
         signed = [(headers.REQUEST_ID, REQUEST_ID), (headers.SIGNATURE, b"s")]
-        return http_client.HttpAnswer(self._statuses[request.address], signed, b"body")
+        return http_client.HttpResponse(self._statuses[request.address], signed, b"body")
 
 
 def node_with(backends: Mapping[str, int], repeatable: bool, attempts: int) -> state.NodeState:
@@ -166,14 +166,14 @@
 
     async def exchange(
         self, request: http_client.HttpRequest, until: Seconds
-    ) -> http_client.HttpAnswer:
+    ) -> http_client.HttpResponse:
         self.asked.append(request.address)
         answer_headers = [
             (headers.REQUEST_ID, REQUEST_ID),
             (headers.NOT_RUN, b"1"),
             (b"retry-after", self._retry_after),
         ]
-        return http_client.HttpAnswer(503, answer_headers, b"")
+        return http_client.HttpResponse(503, answer_headers, b"")
 
 
 @pytest.mark.parametrize(("retry_after", "attempts"), [(b"3", 1), (b"soon", 2), (b"0", 2)])
@@ -228,11 +228,11 @@
     client = client_of(200)
     node = play({"a:1": 200, "b:1": 200}, repeatable=True)
     served = gateway_of(node, client)
-    asked = content.RequestContent(b"GET", "host", b"/x", "", b"")
+    asked = request_content.RequestContent(b"GET", "host", b"/x", "", b"")
     now = clock.steady_clock()
     for number in range(3):
-        node.quarantine.note_lost(f"b{number}", asked.signs, now)
-        node.quarantine.note_ended(f"b{number}", now)
+        node.quarantine.record_lost_request(f"b{number}", asked.fingerprints, now)
+        node.quarantine.record_process_exit(f"b{number}", now)
     node.quarantine.handle_tick(now + 1.0)
     assert await status_of(served) == gateway.NOT_RUN
     assert client.asked == []
@@ -242,11 +242,11 @@
 async def test_a_request_that_waits_for_its_judgement_is_then_refused() -> None:
     client = client_of(200)
     node = play({"a:1": 200, "b:1": 200}, repeatable=True)
-    asked = content.RequestContent(b"GET", "host", b"/x", "", b"")
+    asked = request_content.RequestContent(b"GET", "host", b"/x", "", b"")
     now = clock.steady_clock()
     for number in range(3):
-        node.quarantine.note_lost(f"b{number}", asked.signs, now)
-        node.quarantine.note_ended(f"b{number}", now)
+        node.quarantine.record_lost_request(f"b{number}", asked.fingerprints, now)
+        node.quarantine.record_process_exit(f"b{number}", now)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(crash_watch.CrashWatch(node, client, telemetry.Telemetry()).run)
         assert await status_of(gateway_of(node, client)) == gateway.NOT_RUN
@@ -259,7 +259,7 @@
 
     async def exchange(
         self, request: http_client.HttpRequest, until: Seconds
-    ) -> http_client.HttpAnswer:
+    ) -> http_client.HttpResponse:
         await anyio.sleep_forever()
         raise AssertionError
 
--- a/tests/unit/test_http_codec.py
+++ b/tests/unit/test_http_codec.py
@@ -18,8 +18,8 @@
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 
 
-def read(*pieces: bytes, is_head: bool = False, ended: bool = False) -> http_codec.AnswerReader:
-    reader = http_codec.AnswerReader(is_head)
+def read(*pieces: bytes, is_head: bool = False, ended: bool = False) -> http_codec.ResponseParser:
+    reader = http_codec.ResponseParser(is_head)
     for piece in pieces:
         reader.feed(piece)
     if ended:
@@ -34,7 +34,7 @@
 ) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(1, len(answer) - 1), max_size=6)))
     edges = [0, *cuts, len(answer)]
-    reader = http_codec.AnswerReader()
+    reader = http_codec.ResponseParser()
     for start, end in itertools.pairwise(edges):
         assert not reader.is_whole
         reader.feed(answer[start:end])
@@ -99,7 +99,7 @@
     ],
 )
 def test_what_ended_early_is_not_whole(pieces: tuple[bytes, ...]) -> None:
-    with pytest.raises(http_codec.BadAnswer):
+    with pytest.raises(http_codec.BadResponse):
         read(*pieces, ended=True)
 
 
@@ -117,7 +117,7 @@
     ],
 )
 def test_what_is_no_answer_is_refused(answer: bytes) -> None:
-    with pytest.raises(http_codec.BadAnswer):
+    with pytest.raises(http_codec.BadResponse):
         read(answer)
 
 
--- a/tests/unit/test_http_server.py
+++ b/tests/unit/test_http_server.py
@@ -78,7 +78,7 @@
         await stream.send(one + other)
         found = await answer(stream, b"/c b=1 0")
         assert found.index(b"/a b=1 3") < found.index(b"/c b=1 0")
-        body = b"x" * (2 * http_server.LARGEST_HEAD)
+        body = b"x" * (2 * http_server.MAX_HEAD_SIZE)
         await stream.send(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
         assert (await answer(stream, b"/a b=1 %d" % len(body))).startswith(b"HTTP/1.1 200 ")
         chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
@@ -94,13 +94,13 @@
         sent = 0
         with pytest.raises((anyio.BrokenResourceError, anyio.EndOfStream)):
             await stream.send(endless)
-            while sent < 4 * http_server.LARGEST_HEAD:
+            while sent < 4 * http_server.MAX_HEAD_SIZE:
                 await stream.send(b"X: 1\r\n" * 500 if endless.endswith(b"\n") else b"a" * 3000)
                 sent += 3000
                 await anyio.sleep(0.001)
             while True:
                 await stream.receive()
-        assert sent < 4 * http_server.LARGEST_HEAD
+        assert sent < 4 * http_server.MAX_HEAD_SIZE
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_inspection.py
+++ b/tests/unit/test_inspection.py
@@ -16,7 +16,7 @@
 from limedeck.model import Backend, Configuration, Service
 from limedeck.node.inspection import InspectionApplication, NodeInspector, NotShown
 from limedeck.node.state import NodeState
-from limedeck.ownership.election import Campaign, ElectionCore, LeaderSeen
+from limedeck.ownership.election import Campaign, ElectionCore, LeaderReadResult
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck.views import ASSIGNMENT_PATH, LOCATE_PATH, STATUS_PATH, LocationView, StatusView
 
@@ -54,7 +54,7 @@
 
 def test_a_follower_tells_who_leads_since_when_why_and_what_it_holds_against_it() -> None:
     core = ElectionCore(ME, OwnershipTiming(), 0.0)
-    core.handle_seen(LeaderSeen(OTHER, 40, 0.1), 10.0)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), 10.0)
     core.handle_heartbeat(4, 0.1, 12.0)
     leader = inspector(core=core).status(12.5).leader
     assert leader is not None
@@ -66,16 +66,16 @@
 
 def test_a_leader_tells_why_it_stood() -> None:
     core = ElectionCore(ME, OwnershipTiming(), 0.0)
-    core.handle_seen(LeaderSeen(OTHER, 40, 0.1), 10.0)
+    core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), 10.0)
     core.handle_denial(4, 99, False)
     now, command = 10.0, None
     while not isinstance(command, Campaign) and now < 15.0:
         now += 0.05
         command = core.handle_tick(now)
         if command is not None and not isinstance(command, Campaign):
-            core.handle_seen(LeaderSeen(OTHER, 40, 0.1), now)
+            core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), now)
     assert isinstance(command, Campaign)
-    core.handle_won(command.record, 41, now)
+    core.handle_elected(command.record, 41, now)
     status = inspector(core=core).status(now + 3.0)
     assert status.leads and status.leader is not None
     assert (status.leader.node, status.leader.why) == ("node-a", "denied")
--- a/tests/unit/test_counted_store.py
+++ b/tests/unit/test_instrumented_store.py
@@ -8,17 +8,17 @@
 import pytest
 
 from limedeck.identity import Seconds
-from limedeck.node.counted_store import CountedStore
+from limedeck.node.instrumented_store import InstrumentedStore
 from limedeck.node.telemetry import Telemetry
 from limedeck.store.rows import (
-    HistoryGone,
+    HistoryCompacted,
     RowCondition,
     RowStore,
     RowWrite,
     StoreUnavailable,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 
@@ -36,11 +36,11 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         raise StoreUnavailable("away")
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
-        raise HistoryGone
+        raise HistoryCompacted
 
     async def aclose(self) -> None:
         return
@@ -52,13 +52,13 @@
         await store.read("t")
     with pytest.raises(StoreUnavailable):
         await store.transact([], [])
-    with pytest.raises(HistoryGone):
+    with pytest.raises(HistoryCompacted):
         await store.changes("t", 1, 2.0)
 
 
 def test_each_call_counts_once_and_its_failure_is_passed_on() -> None:
     telemetry = Telemetry()
-    store = CountedStore(BrokenStore(), telemetry)
+    store = InstrumentedStore(BrokenStore(), telemetry)
     anyio.run(call_everything, store)
     assert store.counts == {
         "read t done": 1,
--- a/tests/unit/test_isolation.py
+++ b/tests/unit/test_isolation.py
@@ -58,7 +58,7 @@
     node.directory.put(Backend("a", "s", "127.0.0.1:1", "z1", 2), 0.0)
     found = node.directory.find("a")
     assert found is not None
-    found.note_ended(at)
+    found.record_process_exit(at)
     return node
 
 
--- a/tests/unit/test_limited_owners.py
+++ b/tests/unit/test_limited_owners.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from limedeck.ownership.commands import OwnerChange
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 from limedeck.ownership.service import ServiceOwnership
 from tests.unit.test_service_ownership import TIMING, Play, backend
 
@@ -34,7 +34,7 @@
         while self.now < until:
             count = round(RATE * STEP)
             keys = Counter(self.luck.randrange(KEYS) for _ in range(count))
-            self.core.note_requests(keys.items(), self.now)
+            self.core.record_requests(keys.items(), self.now)
             self.core.set_limits(limits(self.now), self.now)
             self.run(self.now + STEP)
             self.changes += self.core.changes
@@ -46,7 +46,7 @@
         return RATE * keys / KEYS
 
     def moves_since(self, count: int) -> list[OwnerChange]:
-        return [item for item in self.changes[count:] if item.cause is Cause.BALANCE]
+        return [item for item in self.changes[count:] if item.cause is OwnerChangeCause.BALANCE]
 
 
 def test_keys_move_off_a_limited_owner_until_what_is_left_fits() -> None:
--- a/tests/unit/test_limited_requests.py
+++ b/tests/unit/test_limited_requests.py
@@ -6,10 +6,17 @@
 
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.budget import RetryAllowance, RetryBudget
-from limedeck.forwarding.commands import AskPermit, Attempt, Command, Reason, Refuse, Wait
+from limedeck.forwarding.commands import (
+    Attempt,
+    Command,
+    RefusalReason,
+    Refuse,
+    RequestPermit,
+    Wait,
+)
 from limedeck.forwarding.limits import LimitStatement
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
-from limedeck.forwarding.permits import PERMIT_LIFE, NoPermit, Permit
+from limedeck.forwarding.permits import PERMIT_LIFETIME, NoPermit, Permit
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
 from limedeck.forwarding.request_permits import LONGEST_PATIENCE, MOST_ASKS
@@ -39,15 +46,15 @@
     return RequestCore(b"r%d" % round(now * 1000), route, view, directory, position, now + 2.0, now)
 
 
-def asked(command: Command) -> AskPermit:
-    assert isinstance(command, AskPermit)
+def asked(command: Command) -> RequestPermit:
+    assert isinstance(command, RequestPermit)
     return command
 
 
 def test_an_owner_that_has_room_gets_the_request_at_its_turn() -> None:
     core = core_of(directory_of({"a": 4.2}), keyed=True)
     command = asked(core.next_command(10.0, NODES))
-    assert command.ask.bound.rate == 4.2
+    assert command.permit_request.bound.rate == 4.2
     waiting = core.handle_permit(command, Permit(0.05), 10.01, NODES)
     assert waiting == Wait(10.01 + 0.05)
     assert isinstance(core.next_command(10.07, NODES), Attempt)
@@ -59,7 +66,7 @@
     command = asked(core.next_command(10.0, NODES))
     refused = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
     assert isinstance(refused, Refuse)
-    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, Reason.LIMITED)
+    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
     assert 0.2 <= refused.retry_after <= 1.0
     # Those that come meanwhile need not ask.
     assert isinstance(core_of(directory, 10.1, keyed=True).next_command(10.1, NODES), Refuse)
@@ -84,14 +91,14 @@
     """A machine that froze would send what the back end has had from others meanwhile."""
     core = core_of(directory_of({"a": 4.2}), keyed=True)
     command = asked(core.next_command(10.0, NODES))
-    asked(core.handle_permit(command, Permit(0.0), 10.01 + PERMIT_LIFE, NODES))
+    asked(core.handle_permit(command, Permit(0.0), 10.01 + PERMIT_LIFETIME, NODES))
 
 
 def test_a_permit_that_was_not_used_in_time_is_not_used_later() -> None:
     core = core_of(directory_of({"a": 4.2}), keyed=True)
     command = asked(core.next_command(10.0, NODES))
     assert isinstance(core.handle_permit(command, Permit(0.08), 10.01, NODES), Wait)
-    asked(core.next_command(10.01 + PERMIT_LIFE, NODES))
+    asked(core.next_command(10.01 + PERMIT_LIFETIME, NODES))
 
 
 def test_another_attempt_needs_another_permit() -> None:
@@ -106,7 +113,7 @@
     directory = directory_of({"a": 4.2, "b": 3.0, "c": None})
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
-    while isinstance(command, AskPermit):
+    while isinstance(command, RequestPermit):
         command = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
     assert isinstance(command, Attempt)
     assert command.state.backend.backend_id == "c"
@@ -118,12 +125,12 @@
     core = core_of(directory_of(limits))
     command = core.next_command(10.0, NODES)
     count = 0
-    while isinstance(command, AskPermit):
+    while isinstance(command, RequestPermit):
         count += 1
         command = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
     assert count == MOST_ASKS
     assert isinstance(command, Refuse)
-    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, Reason.LIMITED)
+    assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
     assert command.retry_after > 0.0
 
 
@@ -131,11 +138,11 @@
     patience = []
     for priority in (0, 1, 4):
         core = core_of(directory_of({"a": 4.2}), priority=priority)
-        patience.append(asked(core.next_command(10.0, NODES)).ask.patience)
+        patience.append(asked(core.next_command(10.0, NODES)).permit_request.max_wait)
     assert patience == [LONGEST_PATIENCE, LONGEST_PATIENCE / 2, LONGEST_PATIENCE / 5]
     core = core_of(directory_of({"a": 4.2}), priority=4)
-    core.claim.returned = True
-    assert asked(core.next_command(10.0, NODES)).ask.patience == LONGEST_PATIENCE
+    core.claim.is_client_retry = True
+    assert asked(core.next_command(10.0, NODES)).permit_request.max_wait == LONGEST_PATIENCE
 
 
 @pytest.mark.parametrize("keyed", [False, True])
@@ -175,8 +182,8 @@
     state = directory.find("a")
     assert state is not None
     directory.set_cold_rates({"s": 2.0})
-    state.note_ended(9.9)
-    bound = directory.availability.bound_of(state, 10.0)
+    state.record_process_exit(9.9)
+    bound = directory.availability.rate_bound(state, 10.0)
     assert bound is not None and bound.rate == 2.0
 
 
@@ -187,8 +194,8 @@
     directory = directory_of(limits)
     for state in directory.all_states():
         took = 0.5 if state.backend.backend_id == "a" else 0.02
-        state.note_answer(took, LoadReport(1, 0, 2) if tells_load else None, 1.0, "r")
+        state.record_response(took, LoadReport(1, 0, 2) if tells_load else None, 1.0, "r")
         state.tells_load = tells_load
     chosen = [core_of(directory, 10.0 + n / 100).next_command(10.0, NODES) for n in range(300)]
-    asks = sum(isinstance(command, AskPermit) for command in chosen)
+    asks = sum(isinstance(command, RequestPermit) for command in chosen)
     assert 300 / 4 <= asks <= 2.2 * 300 / 4
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -63,13 +63,13 @@
 def test_others_are_told_what_they_did_not_tell() -> None:
     ledger, peer, other = LimitLedger(), object(), object()
     ledger.take("a", LimitStatement(4.2, 1.0, 1.1), peer)
-    assert ledger.news_since(0, peer)[0] == []
-    news, version = ledger.news_since(0, other)
+    assert ledger.updates_since(0, peer)[0] == []
+    news, version = ledger.updates_since(0, other)
     assert [(item.backend_id, item.statement.rate) for item in news] == [("a", 4.2)]
     ledger.take("a", LimitStatement(4.2, 2.0, 2.1))
-    assert ledger.news_since(version, other)[0] == []
+    assert ledger.updates_since(version, other)[0] == []
     ledger.take("a", LimitStatement(None, 3.0, 3.1))
-    (lifted,) = ledger.news_since(version, other)[0]
+    (lifted,) = ledger.updates_since(version, other)[0]
     assert lifted.statement.rate is None
 
 
--- a/tests/unit/test_load_exchange.py
+++ b/tests/unit/test_load_exchange.py
@@ -27,7 +27,7 @@
     """A node's message: back end, outstanding requests, answers, failures."""
     message = control_pb2.BackendLoads()
     for name, outstanding, answers, failures in rows:
-        message.backends.append(backend_loads.mark_of(name))
+        message.backends.append(backend_loads.backend_hash(name))
         message.outstanding.append(outstanding)
         message.answers.append(answers)
         message.service_times.append(200_000)
@@ -92,7 +92,10 @@
     ]
 
     def times(now: float) -> list[float]:
-        return [item.service_time for item in fleet_load.with_aged_times(totals, services, now)]
+        return [
+            item.service_time
+            for item in fleet_load.with_decayed_service_times(totals, services, now)
+        ]
 
     assert times(10.0 + fleet_load.FRESH)[0] == 0.05
     late = times(20.0)
@@ -112,7 +115,7 @@
 
 def test_what_a_new_leader_was_told_is_believed_from_then_on() -> None:
     leader = fleet_load.FleetLoad()
-    leader.begin_with({1: 0.05, 2: 0.02}, 100.0)
+    leader.initialize({1: 0.05, 2: 0.02}, 100.0)
     totals = leader.totals([1, 2])
-    aged = fleet_load.with_aged_times(totals, {1: "s", 2: "s"}, 100.5)
+    aged = fleet_load.with_decayed_service_times(totals, {1: "s", 2: "s"}, 100.5)
     assert [item.service_time for item in aged] == [0.05, 0.02]
--- a/tests/unit/test_notice.py
+++ b/tests/unit/test_notifier.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from limedeck.node import notice as notices
+from limedeck.node import notifier as notices
 
 pytestmark = pytest.mark.anyio
 LONG = 3600.0
@@ -21,7 +21,7 @@
 
     Nodes of a large fleet then heard of a new owner with the next heartbeat, 0.3 s later.
     """
-    notice = notices.Notice()
+    notice = notices.Notifier()
     known = notice.count
     notice.give()
     with anyio.fail_after(LONG / 100):
@@ -29,7 +29,7 @@
 
 
 async def test_who_knows_all_waits_for_the_next_news() -> None:
-    notice = notices.Notice()
+    notice = notices.Notifier()
     notice.give()
     woken = []
 
@@ -46,6 +46,6 @@
 
 
 async def test_without_news_the_wait_ends() -> None:
-    notice = notices.Notice()
+    notice = notices.Notifier()
     await notice.wait_beyond(0, 0.0)
     assert notice.count == 0
--- a/tests/unit/test_owner_changes.py
+++ b/tests/unit/test_owner_changes.py
@@ -73,7 +73,7 @@
         owners.OwnedRange(first, last, source.choice(names))
         for first, last in zip(firsts, lasts, strict=True)
     )
-    return owners.OwnerMap(version, owners.joined(ranges))
+    return owners.OwnerMap(version, owners.merge_adjacent(ranges))
 
 
 @pytest.mark.parametrize("seed", range(30))
--- a/tests/unit/test_permit_exchange.py
+++ b/tests/unit/test_permit_exchange.py
@@ -9,15 +9,15 @@
 from limedeck.clock import steady_clock
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.limits import LimitLedger, LimitStatement
-from limedeck.forwarding.permits import Bound, NoPermit, Permit, PermitAnswer, PermitAsk
+from limedeck.forwarding.permits import NoPermit, Permit, PermitRequest, PermitResponse, RateBound
 from limedeck.model import Backend
-from limedeck.node import limit_news, permit_exchange
+from limedeck.node import limit_updates, permit_exchange
 from limedeck.ownership.election import ElectionCore
-from limedeck.ownership.lending import UNHEARD
+from limedeck.ownership.leader_permits import NO_LEADER_RESPONSE
 from limedeck.ownership.timing import OwnershipTiming
 
 pytestmark = pytest.mark.anyio
-ASK = PermitAsk(Bound("a", 4.2), 0.04)
+ASK = PermitRequest(RateBound("a", 4.2), 0.04)
 
 
 @pytest.fixture
@@ -32,24 +32,24 @@
     now = steady_clock()
     election = ElectionCore(identity, OwnershipTiming(), now - 100.0)
     if leads:
-        election.handle_won(identity, 1, now - 50.0)
+        election.handle_elected(identity, 1, now - 50.0)
     made = permit_exchange.PermitExchange(directory, election)
     made.handle_tick(now - 50.0)
     return made
 
 
-async def asked_of(node: permit_exchange.PermitExchange, answers: list[PermitAnswer]) -> None:
-    answers.append(await node.ask(ASK))
+async def asked_of(node: permit_exchange.PermitExchange, answers: list[PermitResponse]) -> None:
+    answers.append(await node.request(ASK))
 
 
 async def test_without_a_leader_there_are_no_permits() -> None:
-    assert await exchange().ask(ASK) == UNHEARD
+    assert await exchange().request(ASK) == NO_LEADER_RESPONSE
 
 
 async def test_a_leader_lends_to_others_and_itself_from_one_allowance() -> None:
     leader, follower = exchange(leads=True), exchange()
     follower.handle_connected(True)
-    answers: list[PermitAnswer] = []
+    answers: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(asked_of, follower, answers)
         await anyio.wait_all_tasks_blocked()
@@ -58,26 +58,26 @@
         follower.handle_answers(leader.answer(asks, steady_clock()))
     (answer,) = answers
     assert isinstance(answer, Permit)
-    assert isinstance(await leader.ask(ASK), NoPermit)
+    assert isinstance(await leader.request(ASK), NoPermit)
     assert follower.take_asks() is None
 
 
 async def test_what_was_asked_on_a_connection_that_ends_is_not_waited_for() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitAnswer] = []
+    answers: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(asked_of, node, answers)
         await anyio.wait_all_tasks_blocked()
         node.handle_connected(False)
-    assert answers == [UNHEARD]
+    assert answers == [NO_LEADER_RESPONSE]
     assert node.take_asks() is None
 
 
 async def test_a_late_answer_of_a_leader_changes_nothing() -> None:
     node = exchange()
     node.handle_connected(True)
-    assert await node.ask(ASK) == UNHEARD
+    assert await node.request(ASK) == NO_LEADER_RESPONSE
     late = control_pb2.PermitAnswer(number=1, lent=True)
     node.handle_answers(control_pb2.PermitAnswers(answers=[late]))
 
@@ -85,14 +85,14 @@
 async def test_so_many_requests_wait_for_permits_and_no_more() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitAnswer] = []
+    answers: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
         for _ in range(permit_exchange.MOST_WAITING):
             tasks.start_soon(asked_of, node, answers)
         await anyio.wait_all_tasks_blocked()
-        assert await node.ask(ASK) == UNHEARD
+        assert await node.request(ASK) == NO_LEADER_RESPONSE
         node.handle_connected(False)
-    assert answers == [UNHEARD] * permit_exchange.MOST_WAITING
+    assert answers == [NO_LEADER_RESPONSE] * permit_exchange.MOST_WAITING
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -1.0])
@@ -112,8 +112,8 @@
     election = node._lending._election
     election.resign()
     newer = control_pb2.LeaderRecord(node_id="m", incarnation=2, term=2)
-    election.handle_told(newer, 2, steady_clock())
-    assert await node.ask(ASK) == UNHEARD
+    election.handle_peer_record(newer, 2, steady_clock())
+    assert await node.request(ASK) == NO_LEADER_RESPONSE
 
 
 def told(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
@@ -122,8 +122,8 @@
     ours.take("a", LimitStatement(1.0, -9.0, -8.0))
     ours.take("a", statement)
     message = control_pb2.Report()
-    limit_news.LimitNewsPeer(ours).fill(message, sent)
-    limit_news.LimitNewsPeer(theirs).take(message, received)
+    limit_updates.LimitUpdatePeer(ours).fill(message, sent)
+    limit_updates.LimitUpdatePeer(theirs).take(message, received)
     return theirs
 
 
@@ -138,21 +138,21 @@
 
 async def test_a_lifted_limit_is_told_too() -> None:
     ours, theirs = LimitLedger(), LimitLedger()
-    at_ours, at_theirs = limit_news.LimitNewsPeer(ours), limit_news.LimitNewsPeer(theirs)
+    at_ours, at_theirs = limit_updates.LimitUpdatePeer(ours), limit_updates.LimitUpdatePeer(theirs)
     for statement in (LimitStatement(3.0, 1.0, 1.1), LimitStatement(None, 2.0, 2.1)):
         ours.take("a", statement)
-        assert at_ours.has_news
+        assert at_ours.has_updates
         message = control_pb2.Status()
         at_ours.fill(message, 3.0)
         at_theirs.take(message, 3.0)
         assert theirs.rate("a") == statement.rate
-    assert not at_ours.has_news
-    assert not at_theirs.has_news
+    assert not at_ours.has_updates
+    assert not at_theirs.has_updates
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -0.1, 2e9])
 async def test_a_told_limit_that_no_back_end_names_changes_nothing(rate: float) -> None:
     ledger = LimitLedger()
     news = control_pb2.LimitNews(backend="a", rate=rate)
-    limit_news.LimitNewsPeer(ledger).take(control_pb2.Report(limits=[news]), 1.0)
+    limit_updates.LimitUpdatePeer(ledger).take(control_pb2.Report(limits=[news]), 1.0)
     assert ledger.limited() == {}
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -6,13 +6,13 @@
 
 from limedeck.forwarding.permits import (
     CONFIRMED_WITHIN,
-    LEAST_RATE,
+    MIN_RATE,
     UNCONFIRMED_PART,
-    Bound,
     NoPermit,
     Permit,
-    PermitAsk,
-    PermitLender,
+    PermitIssuer,
+    PermitRequest,
+    RateBound,
 )
 from tests.unit.permit_world import PermitWorld
 
@@ -47,7 +47,7 @@
     played.env.run(until=36.0)
     assert played.most_in(WINDOW, 3.0 + BINDS_AFTER) <= allowed(limit)
     got = (len(played.arrivals) - before) / 30.0
-    assert 0.7 * limit <= got <= max(1.1 * limit, 2.0 * LEAST_RATE)
+    assert 0.7 * limit <= got <= max(1.1 * limit, 2.0 * MIN_RATE)
     assert played.slowest_refusal <= 0.15
 
 
@@ -116,43 +116,43 @@
     assert len(played.arrivals) - before >= 0.7 * 120.0 * 2.0
 
 
-def lent(lender: PermitLender, rate: float, silence: float, start: float, end: float) -> int:
+def lent(lender: PermitIssuer, rate: float, silence: float, start: float, end: float) -> int:
     """Permits that are lent to nodes that ask all the time."""
     steps = range(round(start * 1000), round(end * 1000))
-    ask = PermitAsk(Bound("a", rate), 0.0)
-    answers = [lender.answer(ask, None, silence, step / 1000) for step in steps]
+    ask = PermitRequest(RateBound("a", rate), 0.0)
+    answers = [lender.issue(ask, None, silence, step / 1000) for step in steps]
     return sum(isinstance(answer, Permit) for answer in answers)
 
 
 def test_a_leader_lends_the_full_rate_only_while_it_is_surely_the_only_one() -> None:
     for silence, part in ((0.0, 1.0), (CONFIRMED_WITHIN, UNCONFIRMED_PART)):
-        lender = PermitLender(0.0)
+        lender = PermitIssuer(0.0)
         assert lent(lender, 4.0, silence, CONFIRMED_WITHIN, 101.2) == pytest.approx(
             400 * part, abs=2
         )
-    assert lent(PermitLender(0.0), 4.0, 0.0, 0.0, CONFIRMED_WITHIN) <= 2
+    assert lent(PermitIssuer(0.0), 4.0, 0.0, 0.0, CONFIRMED_WITHIN) <= 2
 
 
 def test_one_that_takes_nothing_is_asked_now_and_then_also_while_the_store_is_away() -> None:
     """Else it could not say for 40 s that it is well again."""
     for silence in (0.0, 100.0):
-        assert lent(PermitLender(0.0), 0.0, silence, 10.0, 50.0) == pytest.approx(10, abs=1)
+        assert lent(PermitIssuer(0.0), 0.0, silence, 10.0, 50.0) == pytest.approx(10, abs=1)
 
 
 def test_a_lender_goes_by_the_lower_of_what_both_believe() -> None:
-    lender = PermitLender(0.0)
-    ask = PermitAsk(Bound("a", 40.0), 0.0)
-    assert isinstance(lender.answer(ask, 2.0, 0.0, 10.0), Permit)
-    answers = [lender.answer(ask, 2.0, 0.0, 10.0 + step / 100) for step in range(1, 25)]
+    lender = PermitIssuer(0.0)
+    ask = PermitRequest(RateBound("a", 40.0), 0.0)
+    assert isinstance(lender.issue(ask, 2.0, 0.0, 10.0), Permit)
+    answers = [lender.issue(ask, 2.0, 0.0, 10.0 + step / 100) for step in range(1, 25)]
     assert all(isinstance(answer, NoPermit) for answer in answers)
 
 
 def test_the_urgent_have_the_next_turn() -> None:
-    lender = PermitLender(0.0)
-    bound = Bound("a", 10.0)
-    while isinstance(lender.answer(PermitAsk(bound, 0.0), None, 0.0, 10.0), Permit):
+    lender = PermitIssuer(0.0)
+    bound = RateBound("a", 10.0)
+    while isinstance(lender.issue(PermitRequest(bound, 0.0), None, 0.0, 10.0), Permit):
         continue
-    patient = lender.answer(PermitAsk(bound, 0.08), None, 0.0, 10.05)
+    patient = lender.issue(PermitRequest(bound, 0.08), None, 0.0, 10.05)
     assert isinstance(patient, Permit)
     assert 0.0 < patient.wait <= 0.08
-    assert isinstance(lender.answer(PermitAsk(bound, 0.04), None, 0.0, 10.05), NoPermit)
+    assert isinstance(lender.issue(PermitRequest(bound, 0.04), None, 0.0, 10.05), NoPermit)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from limedeck.forwarding import content, crashes, quarantine
+from limedeck.forwarding import crashes, quarantine, request_content
 
 BAD, OTHER, THIRD = 1, 2, 3
 JUDGED = 0.01 + quarantine.GATHERING
 
 
-def signs(number: int) -> content.RequestSigns:
+def fingerprints(number: int) -> request_content.RequestFingerprints:
     """A request that is known by one number, however widely it is looked at."""
-    return content.RequestSigns(number, number, number)
+    return request_content.RequestFingerprints(number, number, number)
 
 
 class Fleet:
@@ -30,9 +30,9 @@
         name = next(self._names)
         for number, requests in lost.items():
             for request in requests:
-                self.nodes[number].note_lost(name, signs(request), now)
+                self.nodes[number].record_lost_request(name, fingerprints(request), now)
         for number in lost:
-            self.nodes[number].note_ended(name, now + 0.01)
+            self.nodes[number].record_process_exit(name, now + 0.01)
         self.tell(now + 0.3)
         self.judge(now + 0.3)
         self.judge(now + JUDGED)
@@ -52,7 +52,7 @@
 
     def _tell_once(self, one: int, other: int, now: float) -> bool:
         told = self._told.get((one, other), 0)
-        news, self._told[one, other] = self.nodes[one].news_since(told, other)
+        news, self._told[one, other] = self.nodes[one].updates_since(told, other)
         self.nodes[other].take(news, one, now)
         return self._told[one, other] > told
 
@@ -108,16 +108,16 @@
 def test_what_may_have_ended_three_waits_until_it_is_judged() -> None:
     ledger = quarantine.QuarantineLedger("n")
     for number in range(3):
-        assert ledger.held_until(BAD, number * 0.1) is None
-        ledger.note_lost(f"b{number}", signs(BAD), number * 0.1)
-        ledger.note_lost(f"b{number}", signs(10 + number), number * 0.1)
-        ledger.note_ended(f"b{number}", number * 0.1)
-    held = ledger.held_until(BAD, 0.3)
+        assert ledger.blocked_until(BAD, number * 0.1) is None
+        ledger.record_lost_request(f"b{number}", fingerprints(BAD), number * 0.1)
+        ledger.record_lost_request(f"b{number}", fingerprints(10 + number), number * 0.1)
+        ledger.record_process_exit(f"b{number}", number * 0.1)
+    held = ledger.blocked_until(BAD, 0.3)
     assert held is not None
     assert held == pytest.approx(0.2 + quarantine.JUDGED_WITHIN)
-    assert ledger.held_until(10, 0.3) is None
+    assert ledger.blocked_until(10, 0.3) is None
     ledger.handle_tick(held)
-    assert ledger.held_until(BAD, held) is None
+    assert ledger.blocked_until(BAD, held) is None
     assert ledger.refused_for(BAD, held) is not None
 
 
@@ -125,7 +125,7 @@
     fleet = Fleet()
     for number in range(6):
         fleet.crash({0: [BAD, OTHER]}, float(number))
-        fleet.nodes[1].note_served(OTHER, number + 0.5)
+        fleet.nodes[1].record_served(OTHER, number + 0.5)
         fleet.tell(number + 0.6)
     assert fleet.refusing(BAD, 6.0) == [True] * 3
     assert fleet.refusing(OTHER, 6.0) == [False] * 3
@@ -142,16 +142,16 @@
 def test_a_lost_connection_to_a_back_end_that_goes_on_is_no_crash() -> None:
     ledger = quarantine.QuarantineLedger("n")
     for number in range(6):
-        ledger.note_lost(f"b{number}", signs(BAD), float(number))
-        ledger.note_alive(f"b{number}")
-        ledger.note_ended(f"b{number}", number + 0.5)
+        ledger.record_lost_request(f"b{number}", fingerprints(BAD), float(number))
+        ledger.record_alive(f"b{number}")
+        ledger.record_process_exit(f"b{number}", number + 0.5)
     assert ledger.refused_for(BAD, 7.0) is None
     assert not ledger.suspects_any
 
 
 def test_a_back_end_that_ends_by_itself_leaves_nothing() -> None:
     ledger = quarantine.QuarantineLedger("n")
-    ledger.note_ended("b", 1.0)
+    ledger.record_process_exit("b", 1.0)
     assert not ledger.suspects_any
     assert ledger.version == 0
 
@@ -160,7 +160,7 @@
     fleet = Fleet(2)
     for number in range(3):
         name = fleet.crash({0: [OTHER + number]}, float(number))
-        fleet.nodes[1].note_lost(name, signs(BAD), number + 0.5)
+        fleet.nodes[1].record_lost_request(name, fingerprints(BAD), number + 0.5)
     fleet.tell(3.0)
     fleet.judge(3.5)
     assert fleet.refusing(BAD, 3.5) == [True, True]
@@ -169,14 +169,14 @@
 def test_a_quarantine_ends_and_one_crash_begins_a_longer_one() -> None:
     fleet = Fleet()
     convict(fleet)
-    ended = 3.0 + quarantine.FIRST_SPAN + quarantine.TRIAL_SPREAD
-    assert fleet.refusing(BAD, 2.5 + quarantine.FIRST_SPAN - 1.0) == [True] * 3
+    ended = 3.0 + quarantine.BASE_QUARANTINE_TIME + quarantine.TRIAL_SPREAD
+    assert fleet.refusing(BAD, 2.5 + quarantine.BASE_QUARANTINE_TIME - 1.0) == [True] * 3
     assert fleet.refusing(BAD, ended) == [False] * 3
     fleet.crash({1: [BAD]}, ended)
     assert fleet.refusing(BAD, ended + 1.0) == [True] * 3
     again = fleet.nodes[0].refused_for(BAD, ended + 1.0)
     assert again is not None
-    assert again > quarantine.FIRST_SPAN * 1.9
+    assert again > quarantine.BASE_QUARANTINE_TIME * 1.9
 
 
 def test_nodes_try_a_request_at_different_times_and_one_at_a_time() -> None:
@@ -189,9 +189,9 @@
     assert opened[0] <= 8
     assert opened[-1] >= 32
     ledger = fleet.nodes[0]
-    at = 3.0 + quarantine.FIRST_SPAN + quarantine.TRIAL_SPREAD
+    at = 3.0 + quarantine.BASE_QUARANTINE_TIME + quarantine.TRIAL_SPREAD
     assert ledger.refused_for(BAD, at) is None
-    ledger.note_sent(BAD, at)
+    ledger.record_sent(BAD, at)
     assert ledger.refused_for(BAD, at + 1.0) is not None
     assert ledger.refused_for(BAD, at + quarantine.TRIAL_TIME) is None
 
@@ -199,8 +199,8 @@
 def test_a_trial_that_is_answered_ends_the_quarantine_everywhere() -> None:
     fleet = Fleet()
     convict(fleet)
-    at = 3.0 + quarantine.FIRST_SPAN + quarantine.TRIAL_SPREAD
-    fleet.nodes[2].note_served(BAD, at)
+    at = 3.0 + quarantine.BASE_QUARANTINE_TIME + quarantine.TRIAL_SPREAD
+    fleet.nodes[2].record_served(BAD, at)
     fleet.tell(at + 0.1)
     assert all(not node.quarantines() for node in fleet.nodes)
     fleet.crash({0: [BAD]}, at + 1.0)
@@ -219,7 +219,7 @@
     fleet = Fleet(2)
     fleet.crash({1: [BAD]}, 0.0)
     fleet.tell(1.0)
-    news, _ = fleet.nodes[0].news_since(0, 1)
+    news, _ = fleet.nodes[0].updates_since(0, 1)
     assert news == []
     versions = [node.version for node in fleet.nodes]
     fleet.tell(2.0)
@@ -231,8 +231,8 @@
     for request in range(3_000):
         for life in range(3):
             backend = f"b{request}-{life}"
-            ledger.note_lost(backend, signs(request), request * 0.01)
-            ledger.note_ended(backend, request * 0.01)
+            ledger.record_lost_request(backend, fingerprints(request), request * 0.01)
+            ledger.record_process_exit(backend, request * 0.01)
         ledger.handle_tick(request * 0.01)
     ledger.handle_tick(60.0)
     assert len(ledger.quarantines()) == quarantine.MOST_QUARANTINED
@@ -240,7 +240,7 @@
     items = 0
     told = 0
     while True:
-        news, told = ledger.news_since(told, None)
+        news, told = ledger.updates_since(told, None)
         if not news:
             break
         assert sum(map(quarantine._size, news)) <= quarantine.MOST_TOLD
@@ -252,9 +252,9 @@
     ledger = quarantine.QuarantineLedger("n")
     for number in range(3):
         for request in range(1_000 * (number + 1), 1_000 * (number + 1) + 60):
-            ledger.note_lost(f"b{number}", signs(request), float(number))
-        ledger.note_lost(f"b{number}", signs(BAD), float(number))
-        ledger.note_ended(f"b{number}", float(number))
+            ledger.record_lost_request(f"b{number}", fingerprints(request), float(number))
+        ledger.record_lost_request(f"b{number}", fingerprints(BAD), float(number))
+        ledger.record_process_exit(f"b{number}", float(number))
     ledger.handle_tick(3.0)
     assert ledger.refused_for(BAD, 3.0) is not None
 
--- a/tests/unit/test_reload.py
+++ b/tests/unit/test_reload.py
@@ -73,6 +73,6 @@
 @pytest.mark.parametrize(("longest", "lease"), [(10.0, 2.0), (2.0, 2.0), (1.0, 1.0), (0.4, 0.4)])
 def test_no_lease_is_above_what_back_ends_take(longest: float, lease: float) -> None:
     """Found by reading: the bound was read and not used; back ends refuse a longer lease."""
-    found = timing.timing_within(longest)
+    found = timing.timing_for_longest_lease(longest)
     assert found.lease == lease
     assert found.renewal_interval <= found.lease / 4
--- a/tests/unit/test_retry_after.py
+++ b/tests/unit/test_retry_after.py
@@ -82,5 +82,5 @@
     ],
 )
 def test_server_leaving_is_read(headers: list[tuple[bytes, bytes]], leaving: bool) -> None:
-    assert PlatformProtocol().answer_facts(200, headers).leaving is leaving
+    assert PlatformProtocol().response_metadata(200, headers).leaving is leaving
     assert PlatformOrders().is_leaving(headers) is leaving
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("history", HISTORIES, ids=str)
 def test_the_failure_table(phase: FailurePhase, history: AttemptHistory) -> None:
     decision = decide(phase, history)
-    run_for_certain_not = phase in SURELY_NOT_RUN and not history.maybe_run
+    run_for_certain_not = phase in SURELY_NOT_RUN and not history.may_have_run
     if decision is Decision.ANSWER_NOT_RUN:
         assert run_for_certain_not
     if decision is Decision.RETRY:
@@ -191,7 +191,7 @@
     router = Router()
     requests, attempts = 1_000, 0
     for _ in range(requests):
-        router.budget.note_request(0.0)
+        router.budget.record_request(0.0)
         core = router.request("GET", "/shared/x")
         command = core.next_command(0.0)
         while isinstance(command, Attempt):
@@ -269,7 +269,7 @@
     states = BackendStates()
     backends = configuration().backends_of("shared")
     for _ in range(FAILURES_TO_EJECT):
-        states.state("shared-0").note_failure(0.0)
+        states.state("shared-0").record_failure(0.0)
     chosen = {states.choose(SHARED, backends, (), f"id-{n}", 0.1).backend_id for n in range(50)}  # type: ignore[union-attr]
     assert chosen == {"shared-1", "shared-2"}
     only = states.choose(SHARED, backends[:1], (), "id", 0.1)
--- a/tests/unit/test_service_ownership.py
+++ b/tests/unit/test_service_ownership.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limedeck.api.control_pb2 import AssignmentRecord, OwnedKeys
-from limedeck.forwarding.availability import LEAVING_OWNER_STOP
+from limedeck.forwarding.availability import LEAVING_OWNER_GRACE
 from limedeck.model import Backend
 from limedeck.ownership.commands import OwnershipCommand, SendGrant, SendRelease, WriteRecord
 from limedeck.ownership.key_load import KeyLoad
@@ -117,7 +117,7 @@
 def test_the_wait_is_short_once_the_former_leader_is_over() -> None:
     play = taken_over({"b"})
     play.run(2.0)
-    play.core.handle_former_leaders_over(play.now)
+    play.core.handle_former_leaders_ended(play.now)
     play.run(2.0 + TIMING.longest_lease - 0.1)
     assert play.records == []
     play.run(2.0 + TIMING.longest_lease + 1.0)
@@ -224,7 +224,7 @@
 def test_an_owner_that_answers_nobody_is_shown_as_lost_until_its_lease_is_over() -> None:
     play = fresh()
     play.run(3.0)
-    play.core.note_answered("b", 3.0)
+    play.core.record_last_response("b", 3.0)
     play.silent = {"b"}
     play.run(3.5 + TIMING.loss_silence + 0.1)
     [(first, last, free_at)] = lost_ranges(play)
@@ -240,7 +240,7 @@
     play.run(3.0)
     play.silent = {"b"}
     while play.now < 5.0:
-        play.core.note_answered("b", play.now)
+        play.core.record_last_response("b", play.now)
         play.run(play.now + 0.25)
         assert lost_ranges(play) == []
     assert (50, 99, "b") in play.owners()
@@ -249,7 +249,7 @@
 def test_a_new_leader_waits_for_what_nodes_tell_before_it_takes_an_owner_for_lost() -> None:
     play = taken_over({"b"})
     play.run(TIMING.following)
-    play.core.note_answered("b", play.now)
+    play.core.record_last_response("b", play.now)
     assert lost_ranges(play) == []
 
 
@@ -288,9 +288,9 @@
     play.run(1.0)
     play.may_move = False
     play.core.set_backends([backend("a"), backend("b", draining=True)], play.now)
-    play.run(1.0 + LEAVING_OWNER_STOP - 0.05)
+    play.run(1.0 + LEAVING_OWNER_GRACE - 0.05)
     assert play.owners() == [(0, 49, "a"), (50, 99, "b")]
-    play.run(1.0 + LEAVING_OWNER_STOP + 0.1)
+    play.run(1.0 + LEAVING_OWNER_GRACE + 0.1)
     assert play.owners() == [(0, 49, "a"), (50, 99, "")]
     released = [order for _, order in play.orders if isinstance(order, Release)]
     assert [order.backend_id for order in released] == ["b"]
@@ -322,11 +322,11 @@
     play = fresh()
     play.run(3.0)
     play.may_move = False
-    play.core.note_requests([(10, 3000), (11, 3000)], 3.0)
+    play.core.record_requests([(10, 3000), (11, 3000)], 3.0)
     play.run(5.0)
     assert not any(isinstance(order, Release) for _, order in play.orders)
     play.may_move = True
-    play.core.note_requests([(10, 3000), (11, 3000)], 5.0)
+    play.core.record_requests([(10, 3000), (11, 3000)], 5.0)
     play.run(7.0)
     assert any(isinstance(order, Release) for _, order in play.orders)
 
@@ -546,7 +546,7 @@
         keys = Counter(luck.randrange(65_536) for _ in range(100))
         if play.now > begin:
             keys.update(30_000 + luck.randrange(200) for _ in range(66))
-        core.note_requests(keys.items(), play.now)
+        core.record_requests(keys.items(), play.now)
         play.run(play.now + 0.25)
     hot = Counter[str]()
     for item in core.ranges:
--- a/tests/unit/test_slow_leader.py
+++ b/tests/unit/test_slow_leader.py
@@ -19,7 +19,7 @@
 from limedeck.api.control_pb2 import AssignmentRecord, OwnedKeys
 from limedeck.model import Backend
 from limedeck.ownership.commands import SendGrant, WriteRecord
-from limedeck.ownership.ranges import Cause
+from limedeck.ownership.ranges import OwnerChangeCause
 from limedeck.ownership.service import ServiceOwnership
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck_lab.ownership.node import RECORD
@@ -87,7 +87,7 @@
     now, doubted = start, False
     while now < end:
         for number in range(answering):
-            core.note_answered(f"b{number}", now)
+            core.record_last_response(f"b{number}", now)
         for command in core.handle_tick(True, now, may_yield):
             if isinstance(command, WriteRecord):
                 core.handle_record_written(command.row_version + 1)
@@ -102,7 +102,7 @@
     return doubted
 
 
-def causes(core: ServiceOwnership) -> set[Cause]:
+def causes(core: ServiceOwnership) -> set[OwnerChangeCause]:
     return {change.cause for change in core.changes}
 
 
@@ -110,13 +110,13 @@
     core = core_of(12)
     # Answers of before the loss are no sign of life.
     assert not run(core, 4.0, 9.0, unheard=8, answering=0)
-    assert causes(core) == {Cause.SILENT}
+    assert causes(core) == {OwnerChangeCause.SILENT}
 
 
 def test_a_few_owners_that_only_this_leader_misses_lose_their_keys() -> None:
     core = core_of(12)
     assert not run(core, 4.0, 9.0, unheard=4, answering=12)
-    assert causes(core) == {Cause.SILENT}
+    assert causes(core) == {OwnerChangeCause.SILENT}
 
 
 def test_many_owners_that_only_this_leader_misses_keep_their_keys() -> None:
@@ -128,4 +128,4 @@
 def test_a_leader_that_nobody_could_follow_does_not_doubt_itself() -> None:
     core = core_of(12)
     assert not run(core, 4.0, 9.0, unheard=8, answering=12, may_yield=False)
-    assert causes(core) == {Cause.SILENT}
+    assert causes(core) == {OwnerChangeCause.SILENT}
--- a/tests/unit/test_soak_parts.py
+++ b/tests/unit/test_soak_parts.py
@@ -136,7 +136,7 @@
 def test_the_end_is_judged() -> None:
     judged, result, site = judge()
     for request in ("a", "b"):
-        judged.note_sent(request, "node", is_unsafe=True)
+        judged.record_sent(request, "node", is_unsafe=True)
     judged.note_reply("c", "n", reply(status=503), None)
     site.runs += [("a", "i-1"), ("a", "i-2"), ("b", "i-1"), ("c", "i-1")]
     judged.judge_end()
--- a/tests/unit/test_statements.py
+++ b/tests/unit/test_statements.py
@@ -11,7 +11,7 @@
 from limedeck.forwarding.backoffs import LONGEST_BACKOFF, RETURN_SPREAD, BackoffLedger
 from limedeck.forwarding.leaving import LEAVING_RETENTION, LeavingLedger, LeavingStatement
 from limedeck.model import Backend
-from limedeck.node.leaving_news import LeavingNewsPeer
+from limedeck.node.leaving_updates import LeavingUpdatePeer
 from limedeck.node.statement_log import StatementLog
 from limedeck.node.telemetry import Telemetry
 
@@ -22,9 +22,9 @@
 
 def test_announcements_and_revocations_are_sent_with_their_ages() -> None:
     ours, theirs = LeavingLedger(), LeavingLedger()
-    our_peer, their_peer = LeavingNewsPeer(ours), LeavingNewsPeer(theirs)
+    our_peer, their_peer = LeavingUpdatePeer(ours), LeavingUpdatePeer(theirs)
     ours.take("a", LeavingStatement(True, 10.0, 10.25))
-    assert our_peer.has_news
+    assert our_peer.has_updates
     message = control_pb2.Report()
     our_peer.fill(message, 11.0)
     their_peer.take(message, 501.0)
@@ -34,8 +34,8 @@
     our_peer.fill(message, 12.5)
     their_peer.take(message, 502.5)
     assert theirs.leaving_backends() == []
-    assert not our_peer.has_news
-    assert not their_peer.has_news
+    assert not our_peer.has_updates
+    assert not their_peer.has_updates
 
 
 def test_earliest_announcement_is_kept() -> None:
@@ -137,9 +137,9 @@
 def test_only_a_request_sent_after_a_backoff_ends_it() -> None:
     ledger = BackoffLedger("n")
     ledger.take("a", 3.0, 10.0)
-    ledger.note_served("a", 9.9)
+    ledger.record_served("a", 9.9)
     assert ledger.find("a") is not None
-    ledger.note_served("a", 13.0 + RETURN_SPREAD)
+    ledger.record_served("a", 13.0 + RETURN_SPREAD)
     assert ledger.find("a") is None
 
 
@@ -153,7 +153,7 @@
         log.tell(1.6)
         log.tell(2.0)
         assert telemetry.exposition().count(b'_back_ends{service="s"} 1.0') == 2
-        directory.backoffs.note_served("a@1", 5.0)
+        directory.backoffs.record_served("a@1", 5.0)
         log.tell(5.1)
     logged = [(line["event"], line["backend"], line.get("age")) for line in lines]
     assert logged == [
--- a/tests/unit/test_statements_in_fleets.py
+++ b/tests/unit/test_statements_in_fleets.py
@@ -121,7 +121,7 @@
     def _request(self, node: int, request_id: bytes) -> Steps:
         began = self.env.now
         view, directory = self.views[node], self.directories[node]
-        view.budget.note_request(began)
+        view.budget.record_request(began)
         position = 5 if self.keyed else None
         core = RequestCore(request_id, ROUTE, view, directory, position, began + 3.0, began)
         command = core.next_command(began, len(self.views))
@@ -146,7 +146,7 @@
         self, node: int, attempt: Attempt, began: float
     ) -> Generator[simpy.Event, object, bool]:
         """Send a request and record the statements in its answer; return whether it was served."""
-        state, asked_at = attempt.state, self.env.now
+        state, requested_at = attempt.state, self.env.now
         backend = self.backends[state.backend.backend_id]
         state.outstanding += 1
         yield self.env.timeout(self.source.uniform(*NETWORK_DELAY))
@@ -162,12 +162,12 @@
         directory, now = self.directories[node], self.env.now
         if is_leaving:
             backend.announced.setdefault(node, now)
-            self._announce(node, backend.name, LeavingStatement(True, asked_at, now))
+            self._announce(node, backend.name, LeavingStatement(True, requested_at, now))
         if backoff is not None:
             directory.backoffs.take(backend.name, backoff, now)
         else:
-            directory.backoffs.note_served(backend.name, asked_at)
-            state.note_answer(now - asked_at, None, now)
+            directory.backoffs.record_served(backend.name, requested_at)
+            state.record_response(now - requested_at, None, now)
         return backoff is None
 
     def _announce(self, node: int, name: str, statement: LeavingStatement) -> None:
--- a/tests/unit/test_store_news.py
+++ b/tests/unit/test_table_exchange.py
@@ -10,7 +10,7 @@
 
 from limedeck import errors
 from limedeck.api import control_pb2
-from limedeck.node import news, watchers
+from limedeck.node import table_exchange, watchers
 from limedeck.store import feeds, replica, rows
 from tests.unit import test_watchers
 
@@ -41,15 +41,15 @@
             "t", self.held.put, self.held.remove, self.held.complete, 0.0, 20.0
         )
         self.watcher = watchers.TableWatcher(test_watchers.ScriptedStore(), follower)
-        self.watcher.set_feeds(feeds.Feeds.LASTING)
+        self.watcher.set_feeds(feeds.Feeds.PERMANENT)
         self.replica = self.watcher.replica
-        self.news = news.StoreNews([self.watcher])
+        self.news = table_exchange.TableExchange([self.watcher])
 
     def learns(self, now: float, *entries: replica.Entry) -> None:
-        self.replica.take_changes(entries, replica.Source.STORE, now)
+        self.replica.apply_changes(entries, replica.Source.STORE, now)
 
     def reads(self, now: float, newest: int, *entries: replica.Entry) -> None:
-        self.replica.take_whole(entries, newest, replica.Source.STORE, now)
+        self.replica.apply_snapshot(entries, newest, replica.Source.STORE, now)
 
 
 def entry(key: str, version: int, value: bytes | None = b"x") -> replica.Entry:
@@ -58,7 +58,7 @@
 
 def exchange(leader: Node, follower: Node, now: float) -> int:
     """One report and one status on a connection that is old; return how many entries were told."""
-    at_leader, at_follower = news.PeerTables(0.0), news.PeerTables(0.0)
+    at_leader, at_follower = table_exchange.PeerTables(0.0), table_exchange.PeerTables(0.0)
     report, status = control_pb2.Report(), control_pb2.Status()
     follower.news.fill(report, at_follower, now)
     leader.news.take(report, at_leader, now)
@@ -74,7 +74,7 @@
         node.reads(1.0, 2, entry("a", 1), entry("b", 2))
     leader.learns(5.0, entry("a", 3, b"draining"))
     leader.learns(5.1, entry("b", 4, None))
-    exchange(leader, refused, 5.0 + news.PATIENCE + 0.2)
+    exchange(leader, refused, 5.0 + table_exchange.PATIENCE + 0.2)
     assert refused.held.values == {"a": b"draining"}
     assert refused.replica.newest == 4
 
@@ -86,7 +86,7 @@
         node.learns(5.0, entry("a", 2))
     assert exchange(leader, served, 9.0) == 0
     leader.learns(9.0, entry("a", 3))
-    assert exchange(leader, served, 9.0 + news.PATIENCE / 2) == 0
+    assert exchange(leader, served, 9.0 + table_exchange.PATIENCE / 2) == 0
 
 
 def test_a_node_that_knows_nothing_is_told_the_table_whole() -> None:
@@ -116,7 +116,7 @@
     leader, refused = Node(), Node()
     for node in (leader, refused):
         node.reads(1.0, 1, entry("a", 1))
-    leader.watcher.handle_news(replica.TableNews("t", (entry("a", 2, b"new"),), 2), 9.0)
+    leader.watcher.handle_update(replica.TableUpdate("t", (entry("a", 2, b"new"),), 2), 9.0)
     exchange(leader, refused, 9.0)
     assert refused.held.values == {"a": b"new"}
 
@@ -124,9 +124,9 @@
 def test_a_new_connection_waits_until_the_other_node_can_have_read() -> None:
     leader = Node()
     leader.reads(1.0, 1, entry("a", 1))
-    peer = news.PeerTables(since=9.0, newest={"t": 0})
+    peer = table_exchange.PeerTables(since=9.0, newest={"t": 0})
     status = control_pb2.Status()
-    leader.news.fill(status, peer, 9.0 + news.PATIENCE / 2)
+    leader.news.fill(status, peer, 9.0 + table_exchange.PATIENCE / 2)
     assert not status.news
 
 
@@ -134,7 +134,7 @@
     """So many nodes without feeds connect at the same time; return how many are told."""
     told = 0
     for _ in range(followers):
-        peer = news.PeerTables(now, {"t": 0}, keeps_feeds=False)
+        peer = table_exchange.PeerTables(now, {"t": 0}, keeps_feeds=False)
         status = control_pb2.Status()
         leader.news.fill(status, peer, now)
         told += len(status.news)
@@ -155,15 +155,15 @@
 def test_a_fleet_that_starts_is_told_the_tables_by_its_leader() -> None:
     """Found on zhbs-gate-large: 195 nodes read 300 rows from the store each time they started."""
     leader = Node()
-    leader.news = news.StoreNews([leader.watcher], link=12.5e6)
+    leader.news = table_exchange.TableExchange([leader.watcher], link=12.5e6)
     leader.reads(1.0, 300, *large_table(300))
-    assert leader.replica.news_for(0, 1.0) is not None
+    assert leader.replica.update_for(0, 1.0) is not None
     assert told_whole(leader, 1.2, 195) == 195
 
 
 def test_a_leader_with_a_narrow_link_tells_them_one_after_the_other() -> None:
     leader = Node()
-    leader.news = news.StoreNews([leader.watcher], link=0.25e6)
+    leader.news = table_exchange.TableExchange([leader.watcher], link=0.25e6)
     leader.reads(1.0, 300, *large_table(300))
     at_once = told_whole(leader, 1.2, 195)
     assert 0 < at_once < 100
@@ -171,7 +171,7 @@
 
 
 def test_a_table_that_is_too_large_is_left_to_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(news, "LARGEST_TOLD", 1_000)
+    monkeypatch.setattr(table_exchange, "LARGEST_TOLD", 1_000)
     leader = Node()
     leader.reads(1.0, 300, *large_table(300))
     assert told_whole(leader, 1.2, 3) == 0
@@ -180,7 +180,9 @@
 def test_an_older_answer_of_the_store_takes_nothing_back() -> None:
     node = Node()
     node.reads(1.0, 2, entry("a", 1), entry("b", 2))
-    node.watcher.handle_news(replica.TableNews("t", (entry("a", 5, b"new"), entry("c", 6)), 6), 2.0)
+    node.watcher.handle_update(
+        replica.TableUpdate("t", (entry("a", 5, b"new"), entry("c", 6)), 6), 2.0
+    )
     node.reads(3.0, 4, entry("a", 4, b"old"))
     assert node.held.values == {"a": b"new", "c": b"x"}
 
@@ -209,7 +211,7 @@
                 missed[index].clear()
         leader = nodes[0]
         for node in nodes[1:]:
-            exchange(leader, node, now + news.PATIENCE + 0.1)
+            exchange(leader, node, now + table_exchange.PATIENCE + 0.1)
             assert node.held.values == leader.held.values
             assert node.replica.newest == leader.replica.newest
 
@@ -217,4 +219,6 @@
 def test_news_that_cannot_be_unpacked_ends_the_connection() -> None:
     told = control_pb2.Status(news=[control_pb2.TableNews(table="t", entries=b"no zlib")])
     with pytest.raises(errors.PeerProtocolError):
-        news.StoreNews((Node().watcher,)).take(told, news.PeerTables(0.0), 0.0)
+        table_exchange.TableExchange((Node().watcher,)).take(
+            told, table_exchange.PeerTables(0.0), 0.0
+        )
--- a/tests/unit/test_telling.py
+++ b/tests/unit/test_telling.py
@@ -11,7 +11,7 @@
 from limedeck.forwarding import budget
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.model import Backend
-from limedeck.node import backend_loads, control, news, state, telemetry
+from limedeck.node import backend_loads, control, state, table_exchange, telemetry
 from limedeck.node.followers import FollowerConnections
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck.platform.grants import PlatformOrders
@@ -46,15 +46,15 @@
         node.directory.put(Backend(name, "s", "127.0.0.1:1", "z1", 4), 0.0)
     tells = node.directory.find("tells")
     assert tells is not None
-    tells.note_load(LoadReport(1, 0, 4), 0.0)
+    tells.record_load(LoadReport(1, 0, 4), 0.0)
     tells.outstanding = 2
     host.loads.refresh(1.0)
     message = host.loads.totals_for(backend_loads.ToldTotals())
     assert message is not None
     told = backend_loads.TotalsReader().read(message)
     assert {item.backend: item.outstanding for item in told} == {
-        backend_loads.mark_of("silent"): 0,
-        backend_loads.mark_of("tells"): 2,
+        backend_loads.backend_hash("silent"): 0,
+        backend_loads.backend_hash("tells"): 2,
     }
 
 
@@ -68,7 +68,9 @@
     followers: int, longest: float
 ) -> None:
     host, _ = leader()
-    connections = FollowerConnections("127.0.0.1:1", "z1", host, news.StoreNews(()), TIMING)
+    connections = FollowerConnections(
+        "127.0.0.1:1", "z1", host, table_exchange.TableExchange(()), TIMING
+    )
     connections.node_count = lambda: followers + 1  # type: ignore[method-assign]
     pause = connections._telling_pause()
     assert pause <= longest
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -12,7 +12,7 @@
 from limedeck.node.watchers import BRIEF_WAIT, LAG_PATIENCE, TableFollower, TableWatcher
 from limedeck.store import feeds
 from limedeck.store.rows import (
-    HistoryGone,
+    HistoryCompacted,
     RowCondition,
     RowStore,
     RowWrite,
@@ -20,7 +20,7 @@
     StoreUnavailable,
     TableChanges,
     TableRead,
-    Written,
+    WriteResult,
 )
 
 pytestmark = pytest.mark.anyio
@@ -79,7 +79,7 @@
 
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
-    ) -> Written:
+    ) -> WriteResult:
         raise NotImplementedError
 
     async def aclose(self) -> None:
@@ -110,7 +110,7 @@
 def followed(store: ScriptedStore, copy: Copy) -> TableWatcher:
     """A watcher that keeps a feed."""
     watcher = TableWatcher(store, copy.follower())
-    watcher.set_feeds(feeds.Feeds.LASTING)
+    watcher.set_feeds(feeds.Feeds.PERMANENT)
     return watcher
 
 
@@ -141,7 +141,7 @@
         tasks.start_soon(followed(store, copy).run)
         await settle()
         del store.rows["a"]
-        store.fail(HistoryGone())
+        store.fail(HistoryCompacted())
         await settle()
         assert copy.keys == {"b"}
         assert copy.completions == 2
@@ -160,10 +160,10 @@
         store.put("b")
         await settle()
         assert copy.keys == {"a"}
-        watcher.handle_told(2, 10.0)
+        watcher.handle_peer_version(2, 10.0)
         await settle()
         assert copy.keys == {"a"}, "a little lag is no sign of a dead feed"
-        watcher.handle_told(2, 10.0 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(2, 10.0 + LAG_PATIENCE + 0.1)
         await settle()
         assert copy.keys == {"a", "b"}
         tasks.cancel_scope.cancel()
@@ -177,10 +177,10 @@
         tasks.start_soon(watcher.run)
         await settle()
         reads = store.reads
-        watcher.handle_told(2, 10.0)
+        watcher.handle_peer_version(2, 10.0)
         store.put("b")
         await settle()
-        watcher.handle_told(2, 20.0)
+        watcher.handle_peer_version(2, 20.0)
         await settle()
         assert store.reads == reads
         tasks.cancel_scope.cancel()
@@ -207,18 +207,18 @@
         tasks.start_soon(watcher.run)
         await settle()
         assert store.reads == 0
-        watcher.handle_told(1, 10.0)
+        watcher.handle_peer_version(1, 10.0)
         await settle()
         assert store.reads == 0, "the other node tells what is new"
-        watcher.handle_told(1, 10.0 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(1, 10.0 + LAG_PATIENCE + 0.1)
         await settle()
         assert (copy.keys, store.reads) == ({"a"}, 1)
         store.put("b")
-        watcher.handle_told(1, 20.0)
+        watcher.handle_peer_version(1, 20.0)
         await settle()
         assert (copy.keys, store.reads) == ({"a"}, 1)
-        watcher.handle_told(2, 20.3)
-        watcher.handle_told(2, 20.3 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(2, 20.3)
+        watcher.handle_peer_version(2, 20.3 + LAG_PATIENCE + 0.1)
         await settle()
         assert (copy.keys, store.reads) == ({"a", "b"}, 2)
         tasks.cancel_scope.cancel()
@@ -236,7 +236,7 @@
         store.put("b")
         await settle()
         assert copy.keys == {"a"}
-        watcher.set_feeds(feeds.Feeds.LASTING)
+        watcher.set_feeds(feeds.Feeds.PERMANENT)
         await settle()
         assert (copy.keys, store.reads) == ({"a", "b"}, 1)
         tasks.cancel_scope.cancel()
@@ -270,9 +270,9 @@
     watcher = TableWatcher(store, copy.follower())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
-        watcher.set_feeds(feeds.Feeds.BRIEF)
+        watcher.set_feeds(feeds.Feeds.TEMPORARY)
         await settle()
-        watcher.set_feeds(feeds.Feeds.LASTING)
+        watcher.set_feeds(feeds.Feeds.PERMANENT)
         await settle()
         assert store.waits == [BRIEF_WAIT, 20.0]
         tasks.cancel_scope.cancel()
@@ -284,7 +284,7 @@
     for pause in (0.0, 3600.0):
         store, copy = ScriptedStore(), Copy()
         watcher = TableWatcher(store, copy.follower())
-        watcher.set_feeds(feeds.Feeds.BRIEF, brief_pause=pause)
+        watcher.set_feeds(feeds.Feeds.TEMPORARY, brief_pause=pause)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watcher.run)
             for number in range(20):
