--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -192,7 +192,7 @@
         sample = without_queue / self.work.relative(route)
         if self.service_time is None:
             self.service_time = sample
-        self.work.note(route, without_queue / self.service_time)
+        self.work.record(route, without_queue / self.service_time)
         self.service_time += LATENCY_SMOOTHING * (sample - self.service_time)
         self._answers += 1
         self._work_time += sample
--- a/src/limedeck/forwarding/backends.py
+++ b/src/limedeck/forwarding/backends.py
@@ -151,7 +151,7 @@
         for state in self._states.values():
             state.extend_exit_cooldown(now)
 
-    def drop_old_statements(self, now: Seconds) -> None:
+    def drop_expired_statements(self, now: Seconds) -> None:
         """Drop statements of back ends that are no longer listed, and expired back-offs."""
         self.limits.drop_unlisted(self._states, now)
         self.leaving.drop_unlisted(self._states, now)
--- a/src/limedeck/forwarding/backoffs.py
+++ b/src/limedeck/forwarding/backoffs.py
@@ -78,7 +78,7 @@
         self._backoffs: dict[str, Backoff] = {}
         self.events: list[BackoffStarted | BackoffEnded] = []
 
-    def take(self, backend_id: str, seconds: Seconds, now: Seconds) -> None:
+    def record(self, backend_id: str, seconds: Seconds, now: Seconds) -> None:
         """Record the back-off requested by an answer that arrived now."""
         known = self._backoffs.get(backend_id)
         ends_at = now + min(seconds, LONGEST_BACKOFF)
--- a/src/limedeck/forwarding/fleet_size.py
+++ b/src/limedeck/forwarding/fleet_size.py
@@ -36,7 +36,7 @@
         self._since: Seconds | None = None
         self._last: Seconds | None = None
 
-    def note(self, count: int, now: Seconds) -> None:
+    def record_node_count(self, count: int, now: Seconds) -> None:
         """The leader tells the number, or this node leads and counts."""
         if self._last is None or now - self._last > HEARD_LIFE:
             self._since = now
--- a/src/limedeck/forwarding/leaving.py
+++ b/src/limedeck/forwarding/leaving.py
@@ -71,7 +71,7 @@
         if self.find(backend_id) is None:
             self.put(backend_id, revocation)
         else:
-            self.take(backend_id, revocation)
+            self.record(backend_id, revocation)
 
     def leaving_since(self, backend_id: str) -> Seconds | None:
         """Return when the back end was first known to be leaving; None if it is not."""
--- a/src/limedeck/forwarding/permits.py
+++ b/src/limedeck/forwarding/permits.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoPermit:
+class PermitDenied:
     """There is no room now.
 
     Parameters
@@ -98,7 +98,7 @@
     pause: Seconds
 
 
-PermitResponse = Permit | NoPermit
+PermitResponse = Permit | PermitDenied
 
 
 class PermitIssuer:
@@ -133,7 +133,7 @@
         last_turn = self._last_turns.get(backend_id, self._began)
         turn = max(last_turn + interval, now - LONGEST_LAG)
         if turn > now + request.max_wait:
-            return NoPermit(max(turn - now - request.max_wait, LEAST_PAUSE))
+            return PermitDenied(max(turn - now - request.max_wait, LEAST_PAUSE))
         self._last_turns[backend_id] = turn
         return Permit(max(turn - now, 0.0))
 
--- a/src/limedeck/forwarding/quarantine.py
+++ b/src/limedeck/forwarding/quarantine.py
@@ -237,7 +237,7 @@
         later.reverse()
         return later
 
-    def take(self, news: Iterable[QuarantineUpdate], source: object, now: Seconds) -> None:
+    def apply(self, news: Iterable[QuarantineUpdate], source: object, now: Seconds) -> None:
         """Take in what another node has told, or the store."""
         for item in news:
             match item:
--- a/src/limedeck/forwarding/request_cost.py
+++ b/src/limedeck/forwarding/request_cost.py
@@ -45,7 +45,7 @@
         found = self._routes.get(route)
         return found is not None and found.count >= FEWEST_SAMPLES
 
-    def note(self, route: str, ratio: float) -> None:
+    def record(self, route: str, ratio: float) -> None:
         """A request took `ratio` times as long as the back end's mean, without its queue."""
         self._routes.setdefault(route, _Mean()).add(ratio)
         self._all.add(ratio)
--- a/src/limedeck/forwarding/request_permits.py
+++ b/src/limedeck/forwarding/request_permits.py
@@ -11,8 +11,8 @@
 from limedeck.forwarding.hashing import hash_fraction
 from limedeck.forwarding.permits import (
     PERMIT_LIFETIME,
-    NoPermit,
     Permit,
+    PermitDenied,
     PermitRequest,
     PermitResponse,
     RateBound,
@@ -89,7 +89,7 @@
         match answer:
             case Permit(wait):
                 self._held = _Held(backend_id, now + wait, asked.requested_at + PERMIT_LIFETIME)
-            case NoPermit(pause):
+            case PermitDenied(pause):
                 self._turned_away.add(backend_id)
                 asked.state.turned_away_until = now + min(pause, MAX_PAUSE)
 
--- a/src/limedeck/forwarding/statements.py
+++ b/src/limedeck/forwarding/statements.py
@@ -119,7 +119,7 @@
         for backend_id, known in self._known.items():
             yield backend_id, known.statement
 
-    def take(self, backend_id: str, statement: S, source: object = None) -> None:
+    def record(self, backend_id: str, statement: S, source: object = None) -> None:
         """Record a statement from an answer or from another node, unless it is superseded.
 
         Parameters
--- a/src/limedeck/node/connection_updates.py
+++ b/src/limedeck/node/connection_updates.py
@@ -32,8 +32,8 @@
         for peer in self._statement_peers:
             peer.fill(message, now)
 
-    def take(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
+    def apply(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Take in what the other node tells."""
-        self.crashes.take(message.crash_news, now)
+        self.crashes.apply(message.crash_news, now)
         for peer in self._statement_peers:
-            peer.take(message, now)
+            peer.apply(message, now)
--- a/src/limedeck/node/crash_updates.py
+++ b/src/limedeck/node/crash_updates.py
@@ -28,9 +28,9 @@
         news, self._told = self._ledger.updates_since(self._told, self)
         return encoded(news, now) if news else None
 
-    def take(self, message: control_pb2.CrashNews, now: Seconds) -> None:
+    def apply(self, message: control_pb2.CrashNews, now: Seconds) -> None:
         """Take in what the other node tells."""
-        self._ledger.take(decoded(message, now), self, now)
+        self._ledger.apply(decoded(message, now), self, now)
 
 
 def encoded(
--- a/src/limedeck/node/followers.py
+++ b/src/limedeck/node/followers.py
@@ -108,20 +108,20 @@
                 with anyio.fail_after(SILENCE_LIMIT):
                     message, _ = await reader.read()
                 if message.HasField("crash_news"):
-                    told.crashes.take(message.crash_news, steady_clock())
+                    told.crashes.apply(message.crash_news, steady_clock())
                     continue
                 if message.HasField("permit_asks"):
                     answers = self._control.permits.answer(message.permit_asks, steady_clock())
                     await sender.send(ControlMessage(permit_answers=answers))
                     continue
                 node = message.report.node_id
-                told.take(message.report, steady_clock())
+                told.apply(message.report, steady_clock())
                 self._control.handle_report_term(message.report.term)
                 self._control.handle_loads(message.report.loads)
                 self._control.loads.handle_report(
                     node, message.report.backend_loads, steady_clock()
                 )
-                self._store_news.take(message.report, peer, steady_clock())
+                self._store_news.apply(message.report, peer, steady_clock())
                 self._note_follower(message.report, stream, peer)
         except ENDED as error:
             self._log.info("follower_left", node=node, problem=type(error).__name__)
--- a/src/limedeck/node/instrumented_store.py
+++ b/src/limedeck/node/instrumented_store.py
@@ -9,7 +9,7 @@
 from limedeck.node.telemetry import Telemetry
 from limedeck.store.rows import (
     ConditionFailed,
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowStore,
     RowWrite,
@@ -58,7 +58,7 @@
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
         try:
             found = await self._store.changes(table, after, wait)
-        except (HistoryCompacted, StoreError) as error:
+        except (HistoryGone, StoreError) as error:
             self._count("changes", table, type(error).__name__)
             raise
         self._count("changes", table, "done")
--- a/src/limedeck/node/leader_link.py
+++ b/src/limedeck/node/leader_link.py
@@ -154,6 +154,6 @@
             self._policy.handle_status(
                 status.observes, status.store_silence, now, status.node_count
             )
-            self._news.take(status, self._peer, now)
-            self._told.take(status, now)
+            self._news.apply(status, self._peer, now)
+            self._told.apply(status, now)
             self._heard_at = now
--- a/src/limedeck/node/load_exchange.py
+++ b/src/limedeck/node/load_exchange.py
@@ -61,10 +61,10 @@
     def handle_report(self, node: str, message: control_pb2.BackendLoads, now: Seconds) -> None:
         """A node told what it has."""
         reports = backend_loads.read_report(message)
-        self._fleet_load.note(node, reports, now)
-        self._backoffs.note(node, reports, now)
+        self._fleet_load.record_report(node, reports, now)
+        self._backoffs.record_report(node, reports, now)
         for report in reports:
-            self._outliers.note(report.backend, report.answers, report.failures, now)
+            self._outliers.record(report.backend, report.answers, report.failures, now)
 
     def handle_follower_left(self, node: str) -> None:
         """A node is not connected any more."""
--- a/src/limedeck/node/order_sender.py
+++ b/src/limedeck/node/order_sender.py
@@ -86,7 +86,7 @@
         """Record a leaving announcement; an idle owner makes it only in answers to orders."""
         if self._orders.is_leaving(answer.headers):
             statement = LeavingStatement(True, sent_at, steady_clock())
-            self._directory.leaving.take(backend_id, statement)
+            self._directory.leaving.record(backend_id, statement)
 
     def _note_lost(
         self, name: str, core: ServiceOwnership, order: Grant | Release, problem: str
--- a/src/limedeck/node/permit_exchange.py
+++ b/src/limedeck/node/permit_exchange.py
@@ -13,8 +13,8 @@
 from limedeck.clock import steady_clock
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.permits import (
-    NoPermit,
     Permit,
+    PermitDenied,
     PermitRequest,
     PermitResponse,
     RateBound,
@@ -104,7 +104,7 @@
             if waiting is None:
                 continue
             pause = min(item.pause / MILLISECONDS, MAX_PAUSE)
-            waiting.answer = Permit(pause) if item.lent else NoPermit(pause)
+            waiting.answer = Permit(pause) if item.lent else PermitDenied(pause)
             waiting.answered.set()
 
     def handle_connected(self, is_connected: bool) -> None:
@@ -135,7 +135,7 @@
                     # Rounded up: no turn may come early.
                     pause = math.ceil(wait * MILLISECONDS)
                     yield control_pb2.PermitAnswer(number=item.number, lent=True, pause=pause)
-                case NoPermit(pause_left):
+                case PermitDenied(pause_left):
                     pause = math.ceil(pause_left * MILLISECONDS)
                     yield control_pb2.PermitAnswer(number=item.number, lent=False, pause=pause)
 
--- a/src/limedeck/node/quarantine_record.py
+++ b/src/limedeck/node/quarantine_record.py
@@ -89,7 +89,7 @@
             )
             for row in record.rows
         ]
-        self._ledger.take(kept, self, now)
+        self._ledger.apply(kept, self, now)
         self._kept = _marks(kept)
         if kept:
             self._log.info("quarantine_record_read", requests=len(kept))
--- a/src/limedeck/node/response_reader.py
+++ b/src/limedeck/node/response_reader.py
@@ -117,14 +117,14 @@
         if facts.unreadable_limit:
             self._log.unreadable_limit(backend)
         elif statement.rate is not None or is_served:
-            self._directory.limits.take(backend.backend_id, statement)
+            self._directory.limits.record(backend.backend_id, statement)
 
     def _take_leaving(
         self, attempt: Attempt, facts: ResponseMetadata, requested_at: Seconds, now: Seconds
     ) -> None:
         if facts.leaving:
             statement = LeavingStatement(True, requested_at, now)
-            self._directory.leaving.take(attempt.state.backend.backend_id, statement)
+            self._directory.leaving.record(attempt.state.backend.backend_id, statement)
 
     def _take_backoff(self, attempt: Attempt, answer: HttpResponse, now: Seconds) -> None:
         backend = attempt.state.backend
@@ -134,4 +134,4 @@
             self._log.unreadable_retry_after(backend)
             return
         if seconds is not None:
-            self._directory.backoffs.take(backend.backend_id, seconds, now)
+            self._directory.backoffs.record(backend.backend_id, seconds, now)
--- a/src/limedeck/node/server.py
+++ b/src/limedeck/node/server.py
@@ -250,7 +250,7 @@
             await anyio.sleep(UPKEEP_INTERVAL)
             await client.drop_idle(self._state.directory.addresses())
             self._tell_beliefs()
-            statement_log.tell(steady_clock())
+            statement_log.log_events(steady_clock())
             self._writer.flush()
             self._file.reload_if_changed()
 
--- a/src/limedeck/node/state.py
+++ b/src/limedeck/node/state.py
@@ -138,7 +138,7 @@
         """
         if store_silence < LEADER_STORE_SILENCE:
             self.leader_heard_at = now
-            self.fleet_size.note(node_count, now)
+            self.fleet_size.record_node_count(node_count, now)
         self.directory.record_store_confirmation(store_silence, now)
         if store_silence > UNHEARD_STORE:
             self.directory.extend_exit_cooldowns(now)
--- a/src/limedeck/node/statement_log.py
+++ b/src/limedeck/node/statement_log.py
@@ -29,13 +29,13 @@
         self._services: set[str] = set()
         self._log = get_logger("statements")
 
-    def tell(self, now: Seconds) -> None:
+    def log_events(self, now: Seconds) -> None:
         """Log changes since the last call, update the gauges, and drop old statements."""
         self._tell_limits(now)
         self._tell_leaving(now)
         self._tell_backoffs(now)
         self._update_gauges(now)
-        self._directory.drop_old_statements(now)
+        self._directory.drop_expired_statements(now)
 
     def _tell_limits(self, now: Seconds) -> None:
         limits = self._directory.limits
--- a/src/limedeck/node/statement_updates.py
+++ b/src/limedeck/node/statement_updates.py
@@ -30,10 +30,10 @@
         for item in news:
             self._write(message, item, now)
 
-    def take(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
+    def apply(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Record the statements that the other node sent."""
         for backend_id, statement in self._read(message, now):
-            self._ledger.take(backend_id, statement, self)
+            self._ledger.record(backend_id, statement, self)
 
     @abstractmethod
     def _write(
--- a/src/limedeck/node/table_exchange.py
+++ b/src/limedeck/node/table_exchange.py
@@ -96,7 +96,7 @@
             if news is not None:
                 told.news.append(news)
 
-    def take(
+    def apply(
         self,
         told: control_pb2.Report | control_pb2.Status,
         peer: PeerTables,
@@ -188,7 +188,7 @@
         while True:
             wanted = self._policy.feeds(self._leads(), clock.steady_clock())
             for watcher in self._watchers:
-                watcher.set_feeds(wanted, self._policy.brief_pause())
+                watcher.set_feeds(wanted, self._policy.temporary_feed_pause())
             await anyio.sleep(TICK)
 
 
--- a/src/limedeck/node/watchers.py
+++ b/src/limedeck/node/watchers.py
@@ -62,7 +62,7 @@
         self._store = store
         self._follower = follower
         self._after: int | None = None
-        self._feeds = feeds.Feeds.NONE
+        self._feeds = feeds.FeedMode.NONE
         self._brief_pause: identity.Seconds = 0.0
         self._wanted = False
         self._wake = anyio.Event()
@@ -86,7 +86,7 @@
         """Follow the table until cancelled, while a feed is wanted or a reading."""
         pause = SHORTEST_PAUSE
         while True:
-            if self._feeds is feeds.Feeds.NONE and not self._wanted:
+            if self._feeds is feeds.FeedMode.NONE and not self._wanted:
                 await self._wake.wait()
                 continue
             try:
@@ -96,7 +96,7 @@
                 self._waiting = None
                 if scope.cancelled_caught:
                     continue
-            except rows.HistoryCompacted:
+            except rows.HistoryGone:
                 self._log.info("history_gone", table=self.table)
                 self._after = None
             except rows.StoreError as exc:
@@ -109,11 +109,13 @@
             await anyio.sleep(self._pause_between_calls())
 
     def _pause_between_calls(self) -> identity.Seconds:
-        if self._feeds is feeds.Feeds.TEMPORARY:
+        if self._feeds is feeds.FeedMode.TEMPORARY:
             return max(self._follower.joining, self._brief_pause)
         return self._follower.joining
 
-    def set_feeds(self, wanted: feeds.Feeds, brief_pause: identity.Seconds = 0.0) -> None:
+    def set_feeds(
+        self, wanted: feeds.FeedMode, temporary_feed_pause: identity.Seconds = 0.0
+    ) -> None:
         """Keep a feed from now on, or keep none and be told by another node.
 
         Parameters
@@ -121,7 +123,7 @@
         brief_pause
             Least time between two calls of a brief feed, in seconds.
         """
-        self._brief_pause = brief_pause
+        self._brief_pause = temporary_feed_pause
         if wanted is self._feeds:
             return
         self._feeds = wanted
@@ -132,7 +134,7 @@
         """Go on from what is known by a call of its own: the one that waits may be dead."""
         if self._waiting is not None:
             self._waiting.cancel()
-        if self._feeds is not feeds.Feeds.NONE:
+        if self._feeds is not feeds.FeedMode.NONE:
             self._after = self.replica.newest if self.replica.is_complete else None
             self._awake()
 
@@ -154,13 +156,13 @@
             self._read_again()
 
     def _is_behind(self, newest: int) -> bool:
-        if self._feeds is feeds.Feeds.NONE:
+        if self._feeds is feeds.FeedMode.NONE:
             return newest > self.replica.newest or not self.replica.is_complete
         return self._after is not None and newest > self._after
 
     def _read_again(self) -> None:
         self._after = None
-        if self._feeds is feeds.Feeds.NONE:
+        if self._feeds is feeds.FeedMode.NONE:
             self._wanted = True
             self._awake()
         elif self._waiting is not None:
@@ -190,7 +192,7 @@
             await self._read_whole()
             return
         wait = self._follower.feed_wait
-        if self._feeds is feeds.Feeds.TEMPORARY:
+        if self._feeds is feeds.FeedMode.TEMPORARY:
             wait = min(wait, BRIEF_WAIT)
         changes = await self._store.changes(self.table, self._after, wait)
         entries = [replica.Entry(row.key, row.version, row.value) for row in changes.rows]
--- a/src/limedeck/ownership/fleet_backoffs.py
+++ b/src/limedeck/ownership/fleet_backoffs.py
@@ -55,7 +55,7 @@
         self._backends: dict[int, _BackendRecord] = {}
         self._nodes: set[str] = set()
 
-    def note(self, node: str, reports: Iterable[BackendReport], now: Seconds) -> None:
+    def record_report(self, node: str, reports: Iterable[BackendReport], now: Seconds) -> None:
         """Record a node's report, which lists every back end from which it backs off."""
         self._nodes.add(node)
         for record in self._backends.values():
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -114,7 +114,7 @@
             self._service_times.setdefault(backend, known)
             self._answered_at.setdefault(backend, now)
 
-    def note(self, node: str, reports: Iterable[BackendReport], now: Seconds) -> None:
+    def record_report(self, node: str, reports: Iterable[BackendReport], now: Seconds) -> None:
         """Take in a node's report, which names every back end that has requests of it."""
         outstanding: dict[int, int] = {}
         for report in reports:
--- a/src/limedeck/ownership/leader_permits.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from limedeck.forwarding.permits import NoPermit, PermitIssuer, PermitRequest, PermitResponse
+from limedeck.forwarding.permits import PermitDenied, PermitIssuer, PermitRequest, PermitResponse
 from limedeck.identity import Seconds
 from limedeck.ownership.election import ElectionCore, Role
 
 UNHEARD_PAUSE: Seconds = 0.3
 """Without a leader's answer a node asks again after so long: about the time of an election."""
-NO_LEADER_RESPONSE = NoPermit(UNHEARD_PAUSE)
+NO_LEADER_RESPONSE = PermitDenied(UNHEARD_PAUSE)
 """What is assumed without a leader's answer."""
 
 
--- a/src/limedeck/ownership/outliers.py
+++ b/src/limedeck/ownership/outliers.py
@@ -66,7 +66,7 @@
         self.failures *= factor
         self.faded_at = now
 
-    def note(self, answers: int, failures: int, now: Seconds) -> None:
+    def record(self, answers: int, failures: int, now: Seconds) -> None:
         if not answers and not failures:
             return
         if answers or now - self.noted_at > LONGEST_SILENCE:
@@ -95,12 +95,12 @@
     def __init__(self) -> None:
         self._histories: dict[int, _History] = {}
 
-    def note(self, backend: int, answers: int, failures: int, now: Seconds) -> None:
+    def record(self, backend: int, answers: int, failures: int, now: Seconds) -> None:
         """A node reports answers and failed attempts of a back end, named by its hash."""
         history = self._histories.setdefault(backend, _History(faded_at=now))
         if now < history.excluded_until:
             return
-        history.note(answers, failures, now)
+        history.record(answers, failures, now)
 
     def clear(self) -> None:
         """Forget everything: this node leads no more."""
--- a/src/limedeck/ownership/recording.py
+++ b/src/limedeck/ownership/recording.py
@@ -61,7 +61,7 @@
         if self._pending is None:
             raise InvariantViolation("failed-record-was-pending", self._service)
 
-    def is_own(self, record: AssignmentRecord | None) -> bool:
+    def is_own_record(self, record: AssignmentRecord | None) -> bool:
         """Whether a record that stands in the store is the one that was written last."""
         return record is not None and (record.term, record.sequence) == (self._term, self._sequence)
 
--- a/src/limedeck/ownership/service.py
+++ b/src/limedeck/ownership/service.py
@@ -183,7 +183,7 @@
 
     def handle_record_conflict(self, record: AssignmentRecord | None, row_version: int) -> None:
         """A condition of the write did not hold: it was done before, or there is a later leader."""
-        if self._record.is_own(record):
+        if self._record.is_own_record(record):
             self.handle_record_written(row_version)
         else:
             self.fenced_off = True
--- a/src/limedeck/platform/store.py
+++ b/src/limedeck/platform/store.py
@@ -15,7 +15,7 @@
 from limedeck.store.rows import (
     ConditionFailed,
     DroppedRow,
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowKey,
     RowStore,
@@ -108,7 +108,7 @@
         query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MILLISECONDS))}
         answer = await self._call("GET", "/v1/rows-feed", query, timeout=wait + self._timeout)
         if answer.status == HISTORY_GONE:
-            raise HistoryCompacted
+            raise HistoryGone
         found = _decoded(answer)
         return TableChanges(
             rows=tuple(_stored(row) for row in found.rows if not row.gone),
--- a/src/limedeck/store/feeds.py
+++ b/src/limedeck/store/feeds.py
@@ -32,7 +32,7 @@
 """With more nodes than that allows, a change is known so late; changes bind nodes after 2 s."""
 
 
-class Feeds(enum.Enum):
+class FeedMode(enum.Enum):
     """What a node does to learn of changes.
 
     NONE
@@ -93,20 +93,20 @@
         else:
             self._told_until = identity.NEVER
 
-    def brief_pause(self) -> identity.Seconds:
+    def temporary_feed_pause(self) -> identity.Seconds:
         """Least time between two calls of a feed that is kept while nobody tells this node.
 
         All nodes keep such feeds at the same time, and each change would wake all of them.
         """
         return min(self._node_count / FLEET_CALLS, LONGEST_BRIEF_PAUSE)
 
-    def feeds(self, leads: bool, now: identity.Seconds) -> Feeds:
+    def feeds(self, leads: bool, now: identity.Seconds) -> FeedMode:
         """What this node does now."""
         if now > self._told_until and not leads:
             self._stays_until = now + SHORTEST_STAY
         if now <= self._stays_until:
-            return Feeds.TEMPORARY
-        return Feeds.PERMANENT if leads or self._is_observer else Feeds.NONE
+            return FeedMode.TEMPORARY
+        return FeedMode.PERMANENT if leads or self._is_observer else FeedMode.NONE
 
 
 def choose_observers(zones: Mapping[str, str], leader_zone: str) -> frozenset[str]:
--- a/src/limedeck/store/rows.py
+++ b/src/limedeck/store/rows.py
@@ -63,7 +63,7 @@
         return f"the store's answer cannot be read: {self.problem}"
 
 
-class HistoryCompacted(StoreError):
+class HistoryGone(StoreError):
     """The feed cannot go on from this version; read the table whole."""
 
 
--- a/src/limedeck/store/table_rows.py
+++ b/src/limedeck/store/table_rows.py
@@ -30,7 +30,7 @@
     ABSENT,
     ConditionFailed,
     DroppedRow,
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowKey,
     RowStore,
@@ -232,9 +232,9 @@
 
 
 def _check_history(head: _Head, table: str, after: int) -> None:
-    """Raise `HistoryCompacted` if it is not known any more what changed since a version."""
+    """Raise `HistoryGone` if it is not known any more what changed since a version."""
     if not head.forgotten.get(table, ABSENT) <= after <= head.version:
-        raise HistoryCompacted
+        raise HistoryGone
 
 
 def _next_head(head: _Head, writes: Iterable[RowWrite], time: Seconds) -> _Head:
--- a/src/limedeck_lab/experiment_choice.py
+++ b/src/limedeck_lab/experiment_choice.py
@@ -211,7 +211,7 @@
             yield self.environment.timeout(interval)
             for number, directory in enumerate(self.directories):
                 report = backend_loads.write_report(directory, self.environment.now)
-                self.fleet_load.note(
+                self.fleet_load.record_report(
                     f"n{number}", backend_loads.read_report(report), self.environment.now
                 )
             totals = self.fleet_load.totals(
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -9,7 +9,7 @@
 
 from limedeck.platform.store import PlatformStore
 from limedeck.store.rows import (
-    HistoryCompacted,
+    HistoryGone,
     StoreError,
     StoreProtocolError,
     StoreRefused,
@@ -46,7 +46,7 @@
 async def test_a_forgotten_history_is_said() -> None:
     stand_in = RowStoreStandIn(WORDS, version=9, forgotten=5)
     async with connected(stand_in) as store:
-        with pytest.raises(HistoryCompacted):
+        with pytest.raises(HistoryGone):
             await store.changes("t", 3, 0.1)
 
 
--- a/tests/contract/test_row_stores.py
+++ b/tests/contract/test_row_stores.py
@@ -9,7 +9,7 @@
     ABSENT,
     ConditionFailed,
     DroppedRow,
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowKey,
     RowStore,
@@ -152,5 +152,5 @@
     """As after the table was lost and set up anew."""
     async with TableRows().connected() as store:
         await write(store, ROW, b"1")
-        with pytest.raises(HistoryCompacted):
+        with pytest.raises(HistoryGone):
             await store.changes("t", 99, 0.1)
--- a/tests/unit/permit_world.py
+++ b/tests/unit/permit_world.py
@@ -12,7 +12,7 @@
 from limedeck.forwarding.budget import RetryAllowance, RetryBudget
 from limedeck.forwarding.commands import Attempt, Refuse, RequestPermit, Wait
 from limedeck.forwarding.limits import LimitStatement
-from limedeck.forwarding.permits import NoPermit, PermitIssuer, PermitResponse
+from limedeck.forwarding.permits import PermitDenied, PermitIssuer, PermitResponse
 from limedeck.forwarding.request import RequestCore, ServiceView
 from limedeck.model import Backend, Route, Target
 
@@ -152,7 +152,7 @@
     def _answer(self, node: SimulatedNode, command: RequestPermit) -> PermitResponse:
         leader = node.leader
         if leader is None:
-            return NoPermit(0.3)
+            return PermitDenied(0.3)
         silence = self.env.now - leader.confirmed_at
         return leader.lender.issue(command.permit_request, None, silence, self.env.now)
 
@@ -173,7 +173,7 @@
             self._learn(node, statement)
 
     def _learn(self, node: SimulatedNode, statement: LimitStatement) -> None:
-        node.directory.limits.take("limited", statement)
+        node.directory.limits.record("limited", statement)
         if statement.rate is not None:
             node.told_at = min(node.told_at, self.env.now)
 
--- a/tests/unit/test_availability.py
+++ b/tests/unit/test_availability.py
@@ -39,7 +39,7 @@
 
 def announce_leaving(directory: BackendDirectory, *names: str, at: float = 9.0) -> None:
     for name in names:
-        directory.leaving.take(name, LeavingStatement(True, at, at))
+        directory.leaving.record(name, LeavingStatement(True, at, at))
 
 
 def core_of(
@@ -94,7 +94,7 @@
 
 def test_permit_is_not_used_once_back_end_is_leaving() -> None:
     directory = directory_of("a")
-    directory.limits.take("a", LimitStatement(4.2, 1.0, 1.1))
+    directory.limits.record("a", LimitStatement(4.2, 1.0, 1.1))
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
     assert isinstance(command, RequestPermit)
@@ -174,7 +174,7 @@
     directory: BackendDirectory, *names: str, seconds: float = 3.0, at: float = 10.0
 ) -> None:
     for name in names:
-        directory.backoffs.take(name, seconds, at)
+        directory.backoffs.record(name, seconds, at)
 
 
 def resume_at(directory: BackendDirectory, name: str) -> float:
@@ -239,7 +239,7 @@
 
 def test_permit_is_not_used_during_backoff() -> None:
     directory = directory_of("a")
-    directory.limits.take("a", LimitStatement(4.2, 1.0, 1.1))
+    directory.limits.record("a", LimitStatement(4.2, 1.0, 1.1))
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
     assert isinstance(command, RequestPermit)
@@ -306,7 +306,7 @@
         now = number / 20
         while told and told[0][0] <= now:
             at, seconds = told.pop(0)
-            directory.backoffs.take("a", seconds, at)
+            directory.backoffs.record("a", seconds, at)
         sent = isinstance(first_command(directory, now, owner), Attempt)
         backoff = directory.backoffs.find("a")
         assert not sent or backoff is None or now >= backoff.ends_at
--- a/tests/unit/test_backend_loads.py
+++ b/tests/unit/test_backend_loads.py
@@ -78,7 +78,7 @@
 def test_the_only_route_of_a_service_has_the_mean_work() -> None:
     measured = request_cost.ServiceWork()
     for ratio in (0.5, 1.5, 3.0, 0.7, 0.9, 1.1):
-        measured.note("r", ratio)
+        measured.record("r", ratio)
     assert measured.relative("r") == 1.0
     assert measured.relative("other") == 1.0
 
@@ -188,7 +188,7 @@
         state.record_response(0.1, None, 1.0, "r")
         nodes[name] = directory
         message = backend_loads.write_report(directory, 0.0)
-        leader.note(name, backend_loads.read_report(message), 1.0)
+        leader.record_report(name, backend_loads.read_report(message), 1.0)
     marks = [backend_loads.backend_hash(name) for name in ("a", "b")]
     totals = leader.totals(marks)
     assert [item.outstanding for item in totals] == [7, 0]
--- a/tests/unit/test_crash_updates.py
+++ b/tests/unit/test_crash_updates.py
@@ -97,7 +97,7 @@
 def test_a_node_that_starts_is_told_thousands_of_quarantines_in_a_few_messages() -> None:
     ledger = quarantine.QuarantineLedger("n")
     kept = [quarantine_updates.Quarantine(number << 40, 0, 1.0, 900.0) for number in range(3_000)]
-    ledger.take(kept, "store", 2.0)
+    ledger.apply(kept, "store", 2.0)
     peer = crash_updates.CrashUpdatePeer(ledger)
     sizes = []
     while (message := peer.news(2.0)) is not None:
--- a/tests/unit/test_feeds.py
+++ b/tests/unit/test_feeds.py
@@ -19,26 +19,28 @@
 def test_a_node_that_is_told_keeps_no_feeds() -> None:
     policy = feeds.FeedPolicy(0.0)
     told_for(policy, 0.5, 20.0)
-    assert policy.feeds(leads=False, now=20.0) is feeds.Feeds.NONE
+    assert policy.feeds(leads=False, now=20.0) is feeds.FeedMode.NONE
 
 
 def test_a_new_node_waits_a_little_to_be_told() -> None:
     policy = feeds.FeedPolicy(0.0)
-    assert policy.feeds(leads=False, now=feeds.START_PATIENCE - 0.1) is feeds.Feeds.NONE
-    assert policy.feeds(leads=False, now=feeds.START_PATIENCE + 0.1) is feeds.Feeds.TEMPORARY
+    assert policy.feeds(leads=False, now=feeds.START_PATIENCE - 0.1) is feeds.FeedMode.NONE
+    assert policy.feeds(leads=False, now=feeds.START_PATIENCE + 0.1) is feeds.FeedMode.TEMPORARY
 
 
 def test_a_silent_leader_is_not_waited_for() -> None:
     policy = feeds.FeedPolicy(0.0)
     told_for(policy, 0.0, 10.0)
-    assert policy.feeds(leads=False, now=10.0 + feeds.TOLD_PATIENCE + 0.01) is feeds.Feeds.TEMPORARY
+    assert (
+        policy.feeds(leads=False, now=10.0 + feeds.TOLD_PATIENCE + 0.01) is feeds.FeedMode.TEMPORARY
+    )
 
 
 def test_a_leader_that_misses_the_store_tells_nothing() -> None:
     policy = feeds.FeedPolicy(0.0)
     told_for(policy, 0.0, 10.0)
     policy.handle_status(False, feeds.LEADER_STORE_SILENCE + 0.01, 10.0)
-    assert policy.feeds(leads=False, now=10.0) is feeds.Feeds.TEMPORARY
+    assert policy.feeds(leads=False, now=10.0) is feeds.FeedMode.TEMPORARY
 
 
 def test_few_of_many_nodes_ask_a_store_that_their_leader_misses() -> None:
@@ -48,7 +50,7 @@
     for silence in (1.3, 1.8, 2.3, 5.0):
         for policy in nodes:
             policy.handle_status(False, silence, 10.0, len(nodes))
-        keep = [policy.feeds(leads=False, now=10.0) is feeds.Feeds.TEMPORARY for policy in nodes]
+        keep = [policy.feeds(leads=False, now=10.0) is feeds.FeedMode.TEMPORARY for policy in nodes]
         asking.append(sum(keep))
     assert 1 <= asking[0] <= 2
     assert asking[1] <= 4
@@ -58,18 +60,18 @@
 
 def test_a_node_that_went_back_to_feeds_stays_a_while() -> None:
     policy = feeds.FeedPolicy(0.0)
-    assert policy.feeds(leads=False, now=2.0) is feeds.Feeds.TEMPORARY
+    assert policy.feeds(leads=False, now=2.0) is feeds.FeedMode.TEMPORARY
     policy.handle_status(False, 0.1, 2.1)
-    assert policy.feeds(leads=False, now=2.2) is feeds.Feeds.TEMPORARY
+    assert policy.feeds(leads=False, now=2.2) is feeds.FeedMode.TEMPORARY
     told_for(policy, 2.1, 2.0 + feeds.SHORTEST_STAY)
-    assert policy.feeds(leads=False, now=2.0 + feeds.SHORTEST_STAY + 0.1) is feeds.Feeds.NONE
+    assert policy.feeds(leads=False, now=2.0 + feeds.SHORTEST_STAY + 0.1) is feeds.FeedMode.NONE
 
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_leader_and_observers_keep_feeds(leads: bool) -> None:
     policy = feeds.FeedPolicy(0.0)
     policy.handle_status(not leads, 0.1, 0.5)
-    assert policy.feeds(leads, 0.6) is feeds.Feeds.PERMANENT
+    assert policy.feeds(leads, 0.6) is feeds.FeedMode.PERMANENT
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_fleet_backoffs.py
+++ b/tests/unit/test_fleet_backoffs.py
@@ -23,20 +23,20 @@
 def describe_fleet(nodes: int) -> FleetBackoffs:
     fleet = FleetBackoffs()
     for number in range(nodes):
-        fleet.note(f"n{number}", [], 0.0)
+        fleet.record_report(f"n{number}", [], 0.0)
     return fleet
 
 
 def test_backoff_of_one_node_is_not_sufficient() -> None:
     fleet = describe_fleet(11)
-    fleet.note("n0", backoff_report(3.0), 1.0)
+    fleet.record_report("n0", backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == set()
 
 
 def test_back_end_that_rejects_several_nodes_and_serves_none_is_rejecting() -> None:
     fleet = describe_fleet(11)
     for node in ("n0", "n1"):
-        fleet.note(node, backoff_report(3.0), 1.0)
+        fleet.record_report(node, backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
     assert fleet.update_rejecting(4.0) == set()
 
@@ -44,25 +44,25 @@
 def test_back_end_that_serves_more_nodes_than_it_rejects_is_not_rejecting() -> None:
     fleet = describe_fleet(11)
     for node in ("n0", "n1"):
-        fleet.note(node, backoff_report(3.0), 1.0)
+        fleet.record_report(node, backoff_report(3.0), 1.0)
     for node in ("n2", "n3", "n4"):
-        fleet.note(node, served_report(), 1.0)
+        fleet.record_report(node, served_report(), 1.0)
     assert fleet.update_rejecting(1.0) == set()
 
 
 def test_backoff_of_the_only_node_is_sufficient() -> None:
     fleet = describe_fleet(1)
-    fleet.note("n0", backoff_report(3.0), 1.0)
+    fleet.record_report("n0", backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
 
 
 def test_back_end_is_avoided_as_owner_until_the_cooldown_ends() -> None:
     fleet = describe_fleet(2)
     for node in ("n0", "n1"):
-        fleet.note(node, backoff_report(1.0), 1.0)
+        fleet.record_report(node, backoff_report(1.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
     for node in ("n0", "n1"):
-        fleet.note(node, [], 2.0)
+        fleet.record_report(node, [], 2.0)
     assert fleet.update_rejecting(2.0) == set()
     assert fleet.avoided_owners(1.0 + OWNER_COOLDOWN - 0.1) == {BACKEND}
     assert fleet.avoided_owners(1.0 + OWNER_COOLDOWN) == set()
@@ -72,11 +72,11 @@
 def test_node_that_disconnects_or_stops_backing_off_is_not_counted(ending: str) -> None:
     fleet = describe_fleet(3)
     for node in ("n0", "n1"):
-        fleet.note(node, backoff_report(9.0), 1.0)
+        fleet.record_report(node, backoff_report(9.0), 1.0)
     if ending == "forget":
         fleet.forget("n1")
     else:
-        fleet.note("n1", [], 1.1)
+        fleet.record_report("n1", [], 1.1)
     assert fleet.update_rejecting(1.2) == set()
 
 
@@ -94,10 +94,10 @@
     fleet = describe_fleet(11)
     reports = {"off": backoff_report(3.0), "served": served_report(), "-": []}
     for number, at, kind in sorted(events, key=lambda item: item[1]):
-        fleet.note(f"n{number}", reports[kind], at)
+        fleet.record_report(f"n{number}", reports[kind], at)
         fleet.update_rejecting(at)
     for number in range(11):
-        fleet.note(f"n{number}", [], 30.0)
+        fleet.record_report(f"n{number}", [], 30.0)
     fleet.update_rejecting(30.0 + OWNER_COOLDOWN)
     assert fleet.avoided_owners(30.0 + OWNER_COOLDOWN) == set()
     assert fleet.update_rejecting(30.0 + OWNER_COOLDOWN) == set()
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -48,7 +48,7 @@
             groups = [node.group for node in self.nodes]
             for node in self.nodes:
                 if node.group is not None and self._random.random() < STEP / HEARTBEAT:
-                    node.size.note(groups.count(node.group), self.now)
+                    node.size.record_node_count(groups.count(node.group), self.now)
                 sharing_nodes = node.size.sharing_nodes(WINDOW, self.now)
                 while node.budget.try_acquire(self.now, sharing_nodes):
                     self.taken.append(self.now)
@@ -137,11 +137,11 @@
 def test_a_node_that_was_cut_off_has_no_share_for_a_window_after_that() -> None:
     size = FleetSize()
     for second in range(20):
-        size.note(3, float(second))
+        size.record_node_count(3, float(second))
     assert size.sharing_nodes(WINDOW, 19.0) == 3
     assert size.sharing_nodes(WINDOW, 19.1 + HEARD_LIFE) == 0
-    size.note(3, 30.0)
+    size.record_node_count(3, 30.0)
     assert size.sharing_nodes(WINDOW, 31.0) == 0
     for second in range(30, 42):
-        size.note(3, float(second))
+        size.record_node_count(3, float(second))
     assert size.sharing_nodes(WINDOW, 41.0) == 3
--- a/tests/unit/test_gateway.py
+++ b/tests/unit/test_gateway.py
@@ -57,7 +57,7 @@
     node = state.NodeState("z1", "n", budget.RetryAllowance(0.2, 30.0, 10.0))
     # It has heard from a leader for long how many nodes share what may be repeated.
     for seconds in range(12, -1, -1):
-        node.fleet_size.note(3, clock.steady_clock() - seconds)
+        node.fleet_size.record_node_count(3, clock.steady_clock() - seconds)
     route = Route("r", "host", "/", repeatable, 5.0, 1.0, attempts, 1, (Target("s", 1),))
     node.set_configuration(Configuration(1, (route,), {"s": Service("s", 100)}))
     for address in backends:
@@ -192,7 +192,7 @@
 async def test_only_a_served_request_ends_a_backoff(status: int, is_ended: bool) -> None:
     node = play({"a:1": status}, repeatable=True)
     # The period is over, and no request has been served since.
-    node.directory.backoffs.take("a:1", 1.0, clock.steady_clock() - 2.0)
+    node.directory.backoffs.record("a:1", 1.0, clock.steady_clock() - 2.0)
     await answer_of(node, client_of(status))
     assert (node.directory.backoffs.find("a:1") is None) is is_ended
 
--- a/tests/unit/test_inspection.py
+++ b/tests/unit/test_inspection.py
@@ -85,7 +85,7 @@
 def test_back_ends_are_shown_with_why_they_get_less() -> None:
     state = node_state()
     state.directory.availability.evacuate("z1", 0.0)
-    state.directory.limits.take("b", LimitStatement(3.2, 0.5, 1.0))
+    state.directory.limits.record("b", LimitStatement(3.2, 0.5, 1.0))
     shown = {item.backend: item for item in inspector(state).status(2.0).backends}
     assert (shown["b"].conditions, shown["b"].bound) == (["evacuated", "limited"], 3.2)
     assert (shown["c"].conditions, shown["c"].bound) == (["cold"], 4.0)
@@ -95,8 +95,8 @@
 
 def test_leaving_and_backing_off_are_shown_as_conditions() -> None:
     state = node_state()
-    state.directory.leaving.take("b", LeavingStatement(True, 0.5, 1.0))
-    state.directory.backoffs.take("b", 3.0, 1.0)
+    state.directory.leaving.record("b", LeavingStatement(True, 0.5, 1.0))
+    state.directory.backoffs.record("b", 3.0, 1.0)
     shown = {item.backend: item for item in inspector(state).status(2.0).backends}
     assert shown["b"].conditions == ["leaving", "backing-off"]
 
--- a/tests/unit/test_instrumented_store.py
+++ b/tests/unit/test_instrumented_store.py
@@ -11,7 +11,7 @@
 from limedeck.node.instrumented_store import InstrumentedStore
 from limedeck.node.telemetry import Telemetry
 from limedeck.store.rows import (
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowStore,
     RowWrite,
@@ -40,7 +40,7 @@
         raise StoreUnavailable("away")
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
-        raise HistoryCompacted
+        raise HistoryGone
 
     async def aclose(self) -> None:
         return
@@ -52,7 +52,7 @@
         await store.read("t")
     with pytest.raises(StoreUnavailable):
         await store.transact([], [])
-    with pytest.raises(HistoryCompacted):
+    with pytest.raises(HistoryGone):
         await store.changes("t", 1, 2.0)
 
 
--- a/tests/unit/test_limited_requests.py
+++ b/tests/unit/test_limited_requests.py
@@ -16,7 +16,7 @@
 )
 from limedeck.forwarding.limits import LimitStatement
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
-from limedeck.forwarding.permits import PERMIT_LIFETIME, NoPermit, Permit
+from limedeck.forwarding.permits import PERMIT_LIFETIME, Permit, PermitDenied
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
 from limedeck.forwarding.request_permits import LONGEST_PATIENCE, MOST_ASKS
@@ -31,7 +31,7 @@
     for number, (name, limit) in enumerate(limits.items()):
         directory.put(Backend(name, "s", f"127.0.0.1:{number}", "z1", 2), 0.0)
         if limit is not None:
-            directory.limits.take(name, LimitStatement(limit, 1.0, 1.1))
+            directory.limits.record(name, LimitStatement(limit, 1.0, 1.1))
     return directory
 
 
@@ -64,7 +64,7 @@
     directory = directory_of({"a": 4.2})
     core = core_of(directory, keyed=True)
     command = asked(core.next_command(10.0, NODES))
-    refused = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
+    refused = core.handle_permit(command, PermitDenied(0.2), 10.01, NODES)
     assert isinstance(refused, Refuse)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
     assert 0.2 <= refused.retry_after <= 1.0
@@ -114,7 +114,7 @@
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
     while isinstance(command, RequestPermit):
-        command = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
+        command = core.handle_permit(command, PermitDenied(0.2), 10.01, NODES)
     assert isinstance(command, Attempt)
     assert command.state.backend.backend_id == "c"
     assert core.attempts == 1
@@ -127,7 +127,7 @@
     count = 0
     while isinstance(command, RequestPermit):
         count += 1
-        command = core.handle_permit(command, NoPermit(0.2), 10.01, NODES)
+        command = core.handle_permit(command, PermitDenied(0.2), 10.01, NODES)
     assert count == MOST_ASKS
     assert isinstance(command, Refuse)
     assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
@@ -154,8 +154,8 @@
     directory = directory_of({"a": 0.0})
     core = core_of(directory, keyed=keyed)
     command = asked(core.next_command(10.0, NODES))
-    assert isinstance(core.handle_permit(command, NoPermit(40.0), 10.01, NODES), Refuse)
-    directory.limits.take("a", LimitStatement(None, 10.1, 10.2), object())
+    assert isinstance(core.handle_permit(command, PermitDenied(40.0), 10.01, NODES), Refuse)
+    directory.limits.record("a", LimitStatement(None, 10.1, 10.2), object())
     assert isinstance(core_of(directory, 10.3, keyed).next_command(10.3, NODES), Attempt)
 
 
@@ -163,15 +163,15 @@
     directory = directory_of({"a": 0.0})
     core = core_of(directory)
     command = asked(core.next_command(10.0, NODES))
-    assert isinstance(core.handle_permit(command, NoPermit(40.0), 10.01, NODES), Refuse)
-    directory.limits.take("a", LimitStatement(40.0, 10.1, 10.2), object())
+    assert isinstance(core.handle_permit(command, PermitDenied(40.0), 10.01, NODES), Refuse)
+    directory.limits.record("a", LimitStatement(40.0, 10.1, 10.2), object())
     asked(core_of(directory, 11.1).next_command(11.1, NODES))
 
 
 def test_another_life_of_a_back_end_has_no_limit() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(Backend("a@1", "s", "127.0.0.1:1", "z1", 2, instance="a"), 0.0)
-    directory.limits.take("a@1", LimitStatement(0.3, 1.0, 1.1))
+    directory.limits.record("a@1", LimitStatement(0.3, 1.0, 1.1))
     directory.put(Backend("a@2", "s", "127.0.0.1:1", "z1", 2, instance="a"), 5.0)
     assert isinstance(core_of(directory).next_command(10.0, NODES), Attempt)
     assert directory.limits.limited() == {}
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -17,7 +17,7 @@
 def told(*statements: LimitStatement) -> float | None:
     ledger = LimitLedger()
     for statement in statements:
-        ledger.take("a", statement)
+        ledger.record("a", statement)
     return ledger.rate("a")
 
 
@@ -44,7 +44,7 @@
 
 def test_a_limit_is_believed_however_old_it_is_and_ends_with_the_life() -> None:
     ledger = LimitLedger()
-    ledger.take("a", LimitStatement(0.3, 1.0, 1.1))
+    ledger.record("a", LimitStatement(0.3, 1.0, 1.1))
     ledger.drop_unlisted({"a"}, 1e6)
     assert ledger.rate("a") == 0.3
     ledger.forget("a")
@@ -53,7 +53,7 @@
 
 def test_a_limit_of_one_that_is_not_listed_is_kept_until_nodes_have_heard_of_its_entry() -> None:
     ledger = LimitLedger()
-    ledger.take("a", LimitStatement(0.3, 1.0, 1.0))
+    ledger.record("a", LimitStatement(0.3, 1.0, 1.0))
     ledger.drop_unlisted({}, 1.0 + UNLISTED_LIFE)
     assert ledger.rate("a") == 0.3
     ledger.drop_unlisted({}, 1.1 + UNLISTED_LIFE)
@@ -62,13 +62,13 @@
 
 def test_others_are_told_what_they_did_not_tell() -> None:
     ledger, peer, other = LimitLedger(), object(), object()
-    ledger.take("a", LimitStatement(4.2, 1.0, 1.1), peer)
+    ledger.record("a", LimitStatement(4.2, 1.0, 1.1), peer)
     assert ledger.updates_since(0, peer)[0] == []
     news, version = ledger.updates_since(0, other)
     assert [(item.backend_id, item.statement.rate) for item in news] == [("a", 4.2)]
-    ledger.take("a", LimitStatement(4.2, 2.0, 2.1))
+    ledger.record("a", LimitStatement(4.2, 2.0, 2.1))
     assert ledger.updates_since(version, other)[0] == []
-    ledger.take("a", LimitStatement(None, 3.0, 3.1))
+    ledger.record("a", LimitStatement(None, 3.0, 3.1))
     (lifted,) = ledger.updates_since(version, other)[0]
     assert lifted.statement.rate is None
 
@@ -94,13 +94,13 @@
     directory, telemetry = BackendDirectory("z1", "n"), Telemetry()
     directory.put(Backend("a", "s", "127.0.0.1:1", "z1", 2), 0.0)
     log = StatementLog(directory, telemetry)
-    directory.limits.take("a", LimitStatement(4.2, 1.0, 1.1), object())
+    directory.limits.record("a", LimitStatement(4.2, 1.0, 1.1), object())
     with structlog.testing.capture_logs() as lines:
-        log.tell(1.5)
-        log.tell(1.6)
+        log.log_events(1.5)
+        log.log_events(1.6)
     (line,) = lines
     assert (line["backend"], line["limit"], line["source"], line["age"]) == ("a", 4.2, "node", 0.4)
     assert b'limedeck_limited_back_ends{service="s"} 1.0' in telemetry.exposition()
     directory.remove("a")
-    log.tell(2.0)
+    log.log_events(2.0)
     assert b'limedeck_limited_back_ends{service="s"} 0.0' in telemetry.exposition()
--- a/tests/unit/test_load_exchange.py
+++ b/tests/unit/test_load_exchange.py
@@ -106,10 +106,10 @@
 def test_an_answer_after_a_long_silence_counts_for_more_than_what_was_known() -> None:
     leader = fleet_load.FleetLoad()
     slow, fast = (fleet_load.BackendReport(1, 0, 1, time) for time in (0.05, 0.02))
-    leader.note("n", [slow], 10.0)
-    leader.note("n", [fast], 10.5)
+    leader.record_report("n", [slow], 10.0)
+    leader.record_report("n", [fast], 10.5)
     assert leader.service_time(1) == pytest.approx(0.0485)
-    leader.note("n", [fast], 20.0)
+    leader.record_report("n", [fast], 20.0)
     assert leader.service_time(1) == pytest.approx(0.02, abs=0.002)
 
 
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -25,7 +25,7 @@
         for backend in SERVICES:
             if backend not in excluded:
                 share = failing.get(backend, 0.0)
-                detector.note(backend, round(40 * (1.0 - share)), round(40 * share), now)
+                detector.record(backend, round(40 * (1.0 - share)), round(40 * share), now)
         excluded = detector.excluded(SERVICES, now)
         seen.append((now, excluded))
     return seen
@@ -62,7 +62,7 @@
 def test_a_few_failures_are_chance() -> None:
     detector = outliers.OutlierDetector()
     for backend in SERVICES:
-        detector.note(backend, 4, 3 if backend == 0 else 0, 1.0)
+        detector.record(backend, 4, 3 if backend == 0 else 0, 1.0)
     assert not detector.excluded(SERVICES, 1.0)
 
 
@@ -89,7 +89,7 @@
         failures=st.integers(0, 30),
     )
     def report(self, backend: int, answers: int, failures: int) -> None:
-        self.detector.note(backend, answers, failures, self.now)
+        self.detector.record(backend, answers, failures, self.now)
 
     @rule(span=st.sampled_from([0.25, 1.0, 7.0]))
     def pass_time(self, span: float) -> None:
--- a/tests/unit/test_permit_exchange.py
+++ b/tests/unit/test_permit_exchange.py
@@ -9,7 +9,13 @@
 from limedeck.clock import steady_clock
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.limits import LimitLedger, LimitStatement
-from limedeck.forwarding.permits import NoPermit, Permit, PermitRequest, PermitResponse, RateBound
+from limedeck.forwarding.permits import (
+    Permit,
+    PermitDenied,
+    PermitRequest,
+    PermitResponse,
+    RateBound,
+)
 from limedeck.model import Backend
 from limedeck.node import limit_updates, permit_exchange
 from limedeck.ownership.election import ElectionCore
@@ -58,7 +64,7 @@
         follower.handle_answers(leader.answer(asks, steady_clock()))
     (answer,) = answers
     assert isinstance(answer, Permit)
-    assert isinstance(await leader.request(ASK), NoPermit)
+    assert isinstance(await leader.request(ASK), PermitDenied)
     assert follower.take_asks() is None
 
 
@@ -119,20 +125,20 @@
 def told(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
     """What another node believes that is told of a statement."""
     ours, theirs = LimitLedger(), LimitLedger()
-    ours.take("a", LimitStatement(1.0, -9.0, -8.0))
-    ours.take("a", statement)
+    ours.record("a", LimitStatement(1.0, -9.0, -8.0))
+    ours.record("a", statement)
     message = control_pb2.Report()
     limit_updates.LimitUpdatePeer(ours).fill(message, sent)
-    limit_updates.LimitUpdatePeer(theirs).take(message, received)
+    limit_updates.LimitUpdatePeer(theirs).apply(message, received)
     return theirs
 
 
 async def test_limits_are_told_with_their_age_on_another_clock() -> None:
     theirs = told(LimitStatement(0.3, 10.0, 10.25), sent=11.0, received=501.0)
     assert theirs.rate("a") == 0.3
-    theirs.take("a", LimitStatement(None, 500.2, 501.1))
+    theirs.record("a", LimitStatement(None, 500.2, 501.1))
     assert theirs.rate("a") == 0.3
-    theirs.take("a", LimitStatement(None, 500.3, 501.1))
+    theirs.record("a", LimitStatement(None, 500.3, 501.1))
     assert theirs.rate("a") is None
 
 
@@ -140,11 +146,11 @@
     ours, theirs = LimitLedger(), LimitLedger()
     at_ours, at_theirs = limit_updates.LimitUpdatePeer(ours), limit_updates.LimitUpdatePeer(theirs)
     for statement in (LimitStatement(3.0, 1.0, 1.1), LimitStatement(None, 2.0, 2.1)):
-        ours.take("a", statement)
+        ours.record("a", statement)
         assert at_ours.has_updates
         message = control_pb2.Status()
         at_ours.fill(message, 3.0)
-        at_theirs.take(message, 3.0)
+        at_theirs.apply(message, 3.0)
         assert theirs.rate("a") == statement.rate
     assert not at_ours.has_updates
     assert not at_theirs.has_updates
@@ -154,5 +160,5 @@
 async def test_a_told_limit_that_no_back_end_names_changes_nothing(rate: float) -> None:
     ledger = LimitLedger()
     news = control_pb2.LimitNews(backend="a", rate=rate)
-    limit_updates.LimitUpdatePeer(ledger).take(control_pb2.Report(limits=[news]), 1.0)
+    limit_updates.LimitUpdatePeer(ledger).apply(control_pb2.Report(limits=[news]), 1.0)
     assert ledger.limited() == {}
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -8,8 +8,8 @@
     CONFIRMED_WITHIN,
     MIN_RATE,
     UNCONFIRMED_PART,
-    NoPermit,
     Permit,
+    PermitDenied,
     PermitIssuer,
     PermitRequest,
     RateBound,
@@ -144,7 +144,7 @@
     ask = PermitRequest(RateBound("a", 40.0), 0.0)
     assert isinstance(lender.issue(ask, 2.0, 0.0, 10.0), Permit)
     answers = [lender.issue(ask, 2.0, 0.0, 10.0 + step / 100) for step in range(1, 25)]
-    assert all(isinstance(answer, NoPermit) for answer in answers)
+    assert all(isinstance(answer, PermitDenied) for answer in answers)
 
 
 def test_the_urgent_have_the_next_turn() -> None:
@@ -155,4 +155,4 @@
     patient = lender.issue(PermitRequest(bound, 0.08), None, 0.0, 10.05)
     assert isinstance(patient, Permit)
     assert 0.0 < patient.wait <= 0.08
-    assert isinstance(lender.issue(PermitRequest(bound, 0.04), None, 0.0, 10.05), NoPermit)
+    assert isinstance(lender.issue(PermitRequest(bound, 0.04), None, 0.0, 10.05), PermitDenied)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -53,7 +53,7 @@
     def _tell_once(self, one: int, other: int, now: float) -> bool:
         told = self._told.get((one, other), 0)
         news, self._told[one, other] = self.nodes[one].updates_since(told, other)
-        self.nodes[other].take(news, one, now)
+        self.nodes[other].apply(news, one, now)
         return self._told[one, other] > told
 
     def refusing(self, request: int, now: float) -> list[bool]:
--- a/tests/unit/test_statements_in_fleets.py
+++ b/tests/unit/test_statements_in_fleets.py
@@ -164,7 +164,7 @@
             backend.announced.setdefault(node, now)
             self._announce(node, backend.name, LeavingStatement(True, requested_at, now))
         if backoff is not None:
-            directory.backoffs.take(backend.name, backoff, now)
+            directory.backoffs.record(backend.name, backoff, now)
         else:
             directory.backoffs.record_served(backend.name, requested_at)
             state.record_response(now - requested_at, None, now)
@@ -172,14 +172,14 @@
 
     def _announce(self, node: int, name: str, statement: LeavingStatement) -> None:
         """Record an announcement and forward it to two random nodes, once or twice each."""
-        self.directories[node].leaving.take(name, statement)
+        self.directories[node].leaving.record(name, statement)
         for other in self.source.sample(range(len(self.directories)), 2):
             for _ in range(self.source.choice([1, 2])):
                 self.env.process(self._deliver(other, name, statement))
 
     def _deliver(self, node: int, name: str, statement: LeavingStatement) -> Steps:
         yield self.env.timeout(self.source.uniform(*FORWARDING_DELAY))
-        self.directories[node].leaving.take(name, statement, source=self)
+        self.directories[node].leaving.record(name, statement, source=self)
 
 
 @pytest.mark.parametrize("keyed", [False, True])
--- a/tests/unit/test_table_exchange.py
+++ b/tests/unit/test_table_exchange.py
@@ -41,7 +41,7 @@
             "t", self.held.put, self.held.remove, self.held.complete, 0.0, 20.0
         )
         self.watcher = watchers.TableWatcher(test_watchers.ScriptedStore(), follower)
-        self.watcher.set_feeds(feeds.Feeds.PERMANENT)
+        self.watcher.set_feeds(feeds.FeedMode.PERMANENT)
         self.replica = self.watcher.replica
         self.news = table_exchange.TableExchange([self.watcher])
 
@@ -61,9 +61,9 @@
     at_leader, at_follower = table_exchange.PeerTables(0.0), table_exchange.PeerTables(0.0)
     report, status = control_pb2.Report(), control_pb2.Status()
     follower.news.fill(report, at_follower, now)
-    leader.news.take(report, at_leader, now)
+    leader.news.apply(report, at_leader, now)
     leader.news.fill(status, at_leader, now)
-    follower.news.take(status, at_follower, now)
+    follower.news.apply(status, at_follower, now)
     return sum(len(told.entries) for told in status.news)
 
 
@@ -219,6 +219,6 @@
 def test_news_that_cannot_be_unpacked_ends_the_connection() -> None:
     told = control_pb2.Status(news=[control_pb2.TableNews(table="t", entries=b"no zlib")])
     with pytest.raises(errors.PeerProtocolError):
-        table_exchange.TableExchange((Node().watcher,)).take(
+        table_exchange.TableExchange((Node().watcher,)).apply(
             told, table_exchange.PeerTables(0.0), 0.0
         )
--- a/tests/unit/test_table_rows.py
+++ b/tests/unit/test_table_rows.py
@@ -10,7 +10,7 @@
 from limedeck.store import table_rows
 from limedeck.store.rows import (
     ConditionFailed,
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowKey,
     RowWrite,
@@ -126,7 +126,7 @@
     first = (await store.transact([], [RowWrite(row, b"x") for row in rows])).version
     for row in rows:
         await store.transact([], [RowWrite(row, None)])
-    with pytest.raises(HistoryCompacted):
+    with pytest.raises(HistoryGone):
         await store.changes("t", first, 0.0)
     told = await store.changes("t", first + 4, 0.0)
     assert [row.key for row in told.dropped] == ["k4", "k5", "k6", "k7"]
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -12,7 +12,7 @@
 from limedeck.node.watchers import BRIEF_WAIT, LAG_PATIENCE, TableFollower, TableWatcher
 from limedeck.store import feeds
 from limedeck.store.rows import (
-    HistoryCompacted,
+    HistoryGone,
     RowCondition,
     RowStore,
     RowWrite,
@@ -110,7 +110,7 @@
 def followed(store: ScriptedStore, copy: Copy) -> TableWatcher:
     """A watcher that keeps a feed."""
     watcher = TableWatcher(store, copy.follower())
-    watcher.set_feeds(feeds.Feeds.PERMANENT)
+    watcher.set_feeds(feeds.FeedMode.PERMANENT)
     return watcher
 
 
@@ -141,7 +141,7 @@
         tasks.start_soon(followed(store, copy).run)
         await settle()
         del store.rows["a"]
-        store.fail(HistoryCompacted())
+        store.fail(HistoryGone())
         await settle()
         assert copy.keys == {"b"}
         assert copy.completions == 2
@@ -231,12 +231,12 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
         await settle()
-        watcher.set_feeds(feeds.Feeds.NONE)
+        watcher.set_feeds(feeds.FeedMode.NONE)
         await settle()
         store.put("b")
         await settle()
         assert copy.keys == {"a"}
-        watcher.set_feeds(feeds.Feeds.PERMANENT)
+        watcher.set_feeds(feeds.FeedMode.PERMANENT)
         await settle()
         assert (copy.keys, store.reads) == ({"a", "b"}, 1)
         tasks.cancel_scope.cancel()
@@ -270,9 +270,9 @@
     watcher = TableWatcher(store, copy.follower())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
-        watcher.set_feeds(feeds.Feeds.TEMPORARY)
+        watcher.set_feeds(feeds.FeedMode.TEMPORARY)
         await settle()
-        watcher.set_feeds(feeds.Feeds.PERMANENT)
+        watcher.set_feeds(feeds.FeedMode.PERMANENT)
         await settle()
         assert store.waits == [BRIEF_WAIT, 20.0]
         tasks.cancel_scope.cancel()
@@ -284,7 +284,7 @@
     for pause in (0.0, 3600.0):
         store, copy = ScriptedStore(), Copy()
         watcher = TableWatcher(store, copy.follower())
-        watcher.set_feeds(feeds.Feeds.TEMPORARY, brief_pause=pause)
+        watcher.set_feeds(feeds.FeedMode.TEMPORARY, temporary_feed_pause=pause)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watcher.run)
             for number in range(20):
@@ -300,4 +300,4 @@
 def test_the_more_nodes_there_are_the_less_often_each_calls(nodes: int, pause: float) -> None:
     policy = feeds.FeedPolicy(0.0)
     policy.handle_status(False, 0.0, 1.0, nodes)
-    assert policy.brief_pause() == pytest.approx(pause, abs=0.01)
+    assert policy.temporary_feed_pause() == pytest.approx(pause, abs=0.01)
