--- a/tests/contract/test_platform_formats.py
+++ b/tests/contract/test_platform_formats.py
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "not_run", "wrong", "credible"),
+    ("status", "headers", "not_run", "wrong", "is_from_backend"),
     [
         (200, [(b"x-upstream-signature", b"s")], False, False, True),
         (200, [], False, False, False),
