--- a/src/limedeck/node/__init__.py
+++ b/src/limedeck/node/__init__.py
@@ -1,1 +1,1 @@
-"""The process that runs on every machine: sockets, timers and the cores they drive."""
+"""The process that runs on every machine: the sockets and timers around the decision cores."""
--- a/src/limedeck/node/__main__.py
+++ b/src/limedeck/node/__main__.py
@@ -1,8 +1,8 @@
-"""``python3 -m limedeck.node``: the node's command, started with little processor time.
+"""``python3 -m limedeck.node``: runs the node's command with a low start-up time.
 
-The objects that loading modules makes stay. The garbage collector would look through them again and
-again meanwhile, an eighth of the processor time to start (docs/LIBRARIES.md), and at each full
-collection later.
+The objects that are created while modules are imported stay alive. Scanning them repeatedly during
+the import would cost the garbage collector an eighth of the processor time of the start
+(docs/LIBRARIES.md), and more at each full collection later.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 
 
 def start() -> None:
-    """Load the node's modules without collections, then run its command.
+    """Import the node's modules without garbage collection, then run its command.
 
-    By default a signal that tells of changed settings ends a process. They are read after the
-    modules, which take half a second of processor time; from then on the node handles it.
+    SIGHUP, which asks for a reload of the settings, terminates a process by default, so it is
+    ignored until the node handles it. The settings are only read after the modules, whose import
+    takes half a second of processor time.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     gc.disable()
--- a/src/limedeck/node/asgi.py
+++ b/src/limedeck/node/asgi.py
@@ -1,4 +1,4 @@
-"""Names for what the HTTP server and an application hand each other (ASGI)."""
+"""Types of the interface between the HTTP server and an application (ASGI)."""
 
 from __future__ import annotations
 
@@ -10,4 +10,4 @@
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
-"""Handles one request."""
+"""Handles a request."""
--- a/src/limedeck/node/connections.py
+++ b/src/limedeck/node/connections.py
@@ -1,4 +1,4 @@
-"""What all connections between nodes have in common."""
+"""Time-outs and message sending shared by all connections between nodes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from limedeck.node.framing import encode_frame
 
 CONNECT_TIMEOUT: Seconds = 0.7
-"""A new leader on a slow machine takes so long to accept all nodes of a large site at once."""
+"""A new leader on a slow machine takes this long to accept all nodes of a large site at once."""
 SEND_TIMEOUT: Seconds = 1.0
-"""A node that takes nothing for so long is gone; below `SILENCE_LIMIT`, an estimate."""
+"""A node that accepts no data for this long is considered lost; below `SILENCE_LIMIT`."""
 SILENCE_LIMIT: Seconds = 1.5
-"""A connection on which nothing came for so long is given up."""
+"""A connection on which nothing was received for this long is closed."""
 
 ENDED = (
     OSError,
@@ -26,23 +26,23 @@
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
 )
-"""All ways in which a connection may end."""
+"""The errors by which a connection may end."""
 
 
 class FrameSender:
-    """Sends messages of several tasks on one connection, one after the other."""
+    """Sends the messages of several tasks on one connection, one at a time."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
         self._lock = anyio.Lock()
 
     async def send(self, message: ControlMessage) -> None:
-        """Send a message whole.
+        """Send a complete message.
 
         Raises
         ------
         TimeoutError
-            The other node takes nothing.
+            The other node accepts no data.
         """
         async with self._lock:
             with anyio.fail_after(SEND_TIMEOUT):
--- a/src/limedeck/node/crash_gossip.py
+++ b/src/limedeck/node/crash_gossip.py
@@ -1,7 +1,7 @@
-"""Tells some other nodes of crashes while there is no leader to tell all of them.
+"""Sends crash updates to some other nodes while there is no leader to send them to all nodes.
 
-A leader is elected in the store. If it is lost while the store is away, there is none for as long
-as that lasts, and each node would lose back ends of its own to the same request.
+The leader is elected in the store. If it fails while the store is unreachable, there is no leader
+until the store returns, and the same request would crash other back ends through each node.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from limedeck.node.logs import get_logger
 from limedeck.node.state import NodeState
 
-INTERVAL: Seconds = 0.3
-"""Between two rounds. News reach all of 490 nodes in some five rounds, as each that has heard them
-tells the nodes that it knows."""
-MOST_PEERS = 8
-"""Nodes that a node knows besides the leader. With so many, drawn anew at each node, hardly any of
-490 is known to none."""
-TELL_TIMEOUT: Seconds = 0.5
-"""Above the time of a connection to a slow machine; those that are told are told side by side."""
+ROUND_INTERVAL: Seconds = 0.3
+"""Time between two rounds. An update reaches all of 490 nodes in about five rounds, as each node
+that received it sends it on to its peers."""
+MAX_PEERS = 8
+"""Peers that a node knows besides the leader. With this many, drawn at random for each node, hardly
+any of 490 nodes is a peer of none."""
+PEER_SEND_TIMEOUT: Seconds = 0.5
+"""Above the time to connect to a slow machine. Updates are sent to all peers concurrently."""
 
 
 class CrashGossip:
-    """One node's part in it.
+    """Exchanges crash updates between one node and its peers without a leader.
 
     Parameters
     ----------
     has_leader
-        Whether this node leads or hears a leader.
+        Whether this node leads or receives messages from a leader.
     own_host
-        IP number that connections come from.
+        Source address of the connections to other nodes.
     """
 
     def __init__(self, state: NodeState, has_leader: Callable[[], bool], own_host: str) -> None:
@@ -49,35 +49,35 @@
         self._log = get_logger("quarantine")
 
     async def run(self) -> None:
-        """Tell again and again while there is no leader, until cancelled."""
+        """Send updates at intervals while there is no leader, until cancelled."""
         while True:
-            await anyio.sleep(INTERVAL)
+            await anyio.sleep(ROUND_INTERVAL)
             if self._has_leader():
                 self._peers.clear()
                 continue
             async with anyio.create_task_group() as tasks:
                 for address in self._state.peers:
-                    tasks.start_soon(self._tell, address)
+                    tasks.start_soon(self._send_update, address)
 
-    async def _tell(self, address: str) -> None:
+    async def _send_update(self, address: str) -> None:
         peer = self._peers.setdefault(address, CrashUpdatePeer(self._ledger))
-        news = peer.news(steady_clock())
-        if news is None:
+        update = peer.next_update(steady_clock())
+        if update is None:
             return
         host, _, port = address.rpartition(":")
-        frame = encode_frame(control_pb2.ControlMessage(crash_news=news))
+        frame = encode_frame(control_pb2.ControlMessage(crash_news=update))
         try:
-            with anyio.fail_after(TELL_TIMEOUT):
+            with anyio.fail_after(PEER_SEND_TIMEOUT):
                 stream = await anyio.connect_tcp(host, int(port), local_host=self._own_host)
                 async with stream:
                     await stream.send(frame)
         except (OSError, TimeoutError, anyio.BrokenResourceError) as error:
-            # It is told all of it in the next round.
+            # All updates are sent again in the next round.
             del self._peers[address]
             problem = type(error).__name__
             self._log.info("crash_news_not_told", peer=address, problem=problem)
 
 
-def some_peers(addresses: list[str], source: random.Random) -> list[str]:
-    """Draw the nodes that one node is to know."""
-    return source.sample(addresses, min(MOST_PEERS, len(addresses)))
+def some_peers(addresses: list[str], random_source: random.Random) -> list[str]:
+    """Draw the peers of one node at random."""
+    return random_source.sample(addresses, min(MAX_PEERS, len(addresses)))
--- a/src/limedeck/node/crash_updates.py
+++ b/src/limedeck/node/crash_updates.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of back ends that ended, and of requests that ended them."""
+"""Exchanges updates about crashed back ends, and the requests that crashed them, between nodes."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class CrashUpdatePeer:
-    """How far the node at the other end of a connection was told."""
+    """Tracks which updates were sent to the node at the other end of a connection."""
 
     def __init__(self, ledger: quarantine.QuarantineLedger) -> None:
         self._ledger = ledger
-        self._told = 0
+        self._sent_version = 0
 
     def fill(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
-        """Add what the other node lacks, or a part of it if that is much."""
-        news = self.news(now)
-        if news is not None:
-            message.crash_news.CopyFrom(news)
+        """Add the updates that the other node lacks, up to the limit for one message."""
+        updates = self.next_update(now)
+        if updates is not None:
+            message.crash_news.CopyFrom(updates)
 
-    def news(self, now: Seconds) -> control_pb2.CrashNews | None:
-        """Return what the other node lacks, and note that it was told; None if nothing."""
-        news, self._told = self._ledger.updates_since(self._told, self)
-        return encoded(news, now) if news else None
+    def next_update(self, now: Seconds) -> control_pb2.CrashNews | None:
+        """Return the updates that the other node lacks, marked as sent; None if it lacks none."""
+        updates, self._sent_version = self._ledger.updates_since(self._sent_version, self)
+        return encode_updates(updates, now) if updates else None
 
     def apply(self, message: control_pb2.CrashNews, now: Seconds) -> None:
-        """Take in what the other node tells."""
-        self._ledger.apply(decoded(message, now), self, now)
+        """Apply the updates that the other node sent."""
+        self._ledger.apply(decode_updates(message, now), self, now)
 
 
-def encoded(
-    news: Iterable[quarantine_updates.QuarantineUpdate], now: Seconds
+def encode_updates(
+    updates: Iterable[quarantine_updates.QuarantineUpdate], now: Seconds
 ) -> control_pb2.CrashNews:
-    """Write news; ages instead of times, since nodes' clocks have nothing in common."""
+    """Encode updates, with ages instead of times, since the clocks of nodes are unrelated."""
     message = control_pb2.CrashNews()
-    for item in news:
+    for item in updates:
         match item:
             case quarantine_updates.CrashUpdate():
                 message.crashes.add(
                     backend=item.backend_id,
                     age=message_ages.age_of(item.at, now),
-                    lost=[_written(request) for request in sorted(item.requests)],
+                    lost=[_encode_fingerprints(request) for request in sorted(item.requests)],
                 )
             case quarantine_updates.ServedUpdate():
                 message.served.add(request=item.request, age=message_ages.age_of(item.at, now))
@@ -58,19 +58,22 @@
     return message
 
 
-def decoded(
+def decode_updates(
     message: control_pb2.CrashNews, now: Seconds
 ) -> list[quarantine_updates.QuarantineUpdate]:
-    """Read news: what was served last, so that it clears what is told beside it."""
-    news: list[quarantine_updates.QuarantineUpdate] = [
+    """Decode updates; served requests come last, so that they clear those listed beside them."""
+    updates: list[quarantine_updates.QuarantineUpdate] = [
         quarantine_updates.CrashUpdate(
             crash.backend,
             message_ages.time_of(crash.age, now),
-            frozenset(_read(request) for request in crash.lost[: quarantine.MAX_LOST_REQUESTS]),
+            frozenset(
+                _decode_fingerprints(request)
+                for request in crash.lost[: quarantine.MAX_LOST_REQUESTS]
+            ),
         )
         for crash in message.crashes
     ]
-    news += [
+    updates += [
         quarantine_updates.Quarantine(
             item.request,
             item.level,
@@ -79,18 +82,18 @@
         )
         for item in message.quarantined
     ]
-    news += [
+    updates += [
         quarantine_updates.ServedUpdate(item.request, message_ages.time_of(item.age, now))
         for item in message.served
     ]
-    return news
+    return updates
 
 
-def _written(request: request_content.RequestFingerprints) -> control_pb2.RequestSigns:
+def _encode_fingerprints(request: request_content.RequestFingerprints) -> control_pb2.RequestSigns:
     return control_pb2.RequestSigns(
         target=request.target, content=request.content, caller=request.caller
     )
 
 
-def _read(request: control_pb2.RequestSigns) -> request_content.RequestFingerprints:
+def _decode_fingerprints(request: control_pb2.RequestSigns) -> request_content.RequestFingerprints:
     return request_content.RequestFingerprints(request.target, request.content, request.caller)
--- a/src/limedeck/node/crash_watch.py
+++ b/src/limedeck/node/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether a back end that dropped a connection has ended, and judges what is known."""
+"""Checks whether a back end that dropped a connection has exited, and updates the quarantines."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from limedeck.node.telemetry import Telemetry
 from limedeck.routing.outcomes import AttemptFailed
 
-TICK: Seconds = 0.1
-"""Between two looks at what is known; a fifth of the time that news take to all nodes."""
-LOOKS: tuple[Seconds, ...] = (0.01, 0.09)
-"""Pauses before each look at the port of a back end that dropped a connection. A process that ends
-drops its connections and its port together, and is not back within a tenth of a second."""
-LOOK_TIMEOUT: Seconds = 0.25
-LINES_PER_SECOND = 20
-"""A node that starts may be told of thousands of quarantines at once; counters tell of them all."""
-LOOK_INTERVAL: Seconds = 1.0
-"""A back end that drops connections because it is full is looked at so often at most."""
+EVALUATION_INTERVAL: Seconds = 0.1
+"""The ledger is evaluated this often: a fifth of the time that updates take to reach all nodes."""
+PROBE_DELAYS: tuple[Seconds, ...] = (0.01, 0.09)
+"""Delays before each probe of the port of a back end that dropped a connection. A process that
+exits closes its connections and its port together, and does not restart within 0.1 s."""
+PROBE_TIMEOUT: Seconds = 0.25
+MAX_LINES_PER_SECOND = 20
+"""A starting node may receive thousands of quarantines at once; the counters include all."""
+MIN_PROBE_INTERVAL: Seconds = 1.0
+"""Limits the probes of a back end that drops connections because it is overloaded."""
 
 
 class CrashWatch:
-    """Keeps this node's ledger of requests that end back ends.
+    """Maintains this node's ledger of requests that crash back ends.
 
-    A connection that was dropped may have been reset by a back end that is full, or cut on its
-    way. Only a closed port shows that the process has ended: without that look, each reset of a
-    busy back end would speak against all that it was at work on.
+    A dropped connection may have been reset by an overloaded back end, or interrupted in the
+    network. Only a closed port shows that the process has exited: without the probe, each reset by
+    a busy back end would count against all requests that it was processing.
     """
 
     def __init__(self, state: NodeState, client: HttpClient, telemetry: Telemetry) -> None:
@@ -40,33 +40,35 @@
         self._ledger = state.quarantine
         self._client = client
         self._telemetry = telemetry
-        self._looked_at: dict[str, Seconds] = {}
+        self._probed_at: dict[str, Seconds] = {}
         self._tasks: TaskGroup | None = None
-        self._lines = RateLimit(LINES_PER_SECOND)
+        self._line_limit = RateLimit(MAX_LINES_PER_SECOND)
         self._log = get_logger("quarantine")
 
     async def run(self) -> None:
-        """Judge again and again until cancelled."""
+        """Evaluate the ledger at intervals until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             while True:
-                await anyio.sleep(TICK)
-                self.judge(steady_clock())
+                await anyio.sleep(EVALUATION_INTERVAL)
+                self.evaluate(steady_clock())
 
-    def record_lost_request(self, backend: Backend, asked: request_content.RequestContent) -> None:
-        """A back end dropped the connection while it was at work on a request."""
+    def record_lost_request(
+        self, backend: Backend, content: request_content.RequestContent
+    ) -> None:
+        """Record that a back end dropped the connection while processing a request; probe it."""
         now = steady_clock()
-        self._ledger.record_lost_request(backend.backend_id, asked.fingerprints, now)
-        is_due = now - self._looked_at.get(backend.backend_id, NEVER) >= LOOK_INTERVAL
+        self._ledger.record_lost_request(backend.backend_id, content.fingerprints, now)
+        is_due = now - self._probed_at.get(backend.backend_id, NEVER) >= MIN_PROBE_INTERVAL
         if is_due and self._tasks is not None:
-            self._looked_at[backend.backend_id] = now
-            self._tasks.start_soon(self._look, backend)
+            self._probed_at[backend.backend_id] = now
+            self._tasks.start_soon(self._probe_port, backend)
 
-    def note_refused(self, backend: Backend) -> None:
-        """Nobody listens at a back end's address.
+    def record_refused_connection(self, backend: Backend) -> None:
+        """Record that no process listens at a back end's address.
 
-        This node passes it over. Others find that out by themselves: a node that is cut off may be
-        refused by all back ends, and must not take them from all other nodes.
+        Only this node ejects the back end; other nodes find out by themselves. A node that is cut
+        off may be refused by all back ends, and must not eject them at all other nodes.
         """
         now = steady_clock()
         self._ledger.record_process_exit(backend.backend_id, now)
@@ -74,31 +76,33 @@
         if state is not None:
             state.record_process_exit(now)
 
-    def judge(self, now: Seconds) -> None:
-        """Look at what is known by now, and tell what came of it."""
+    def evaluate(self, now: Seconds) -> None:
+        """Evaluate the ledger, and count and log the resulting events."""
         self._ledger.handle_tick(now)
         events, self._ledger.events = self._ledger.events, []
         for event in events:
-            self._tell(event, now)
+            self._record_event(event, now)
         self._telemetry.quarantined.set(self._ledger.count)
-        for backend_id in [key for key, at in self._looked_at.items() if at < now - LOOK_INTERVAL]:
-            del self._looked_at[backend_id]
-
-    async def _look(self, backend: Backend) -> None:
-        for pause in LOOKS:
-            await anyio.sleep(pause)
+        for backend_id in [
+            key for key, at in self._probed_at.items() if at < now - MIN_PROBE_INTERVAL
+        ]:
+            del self._probed_at[backend_id]
+
+    async def _probe_port(self, backend: Backend) -> None:
+        for delay in PROBE_DELAYS:
+            await anyio.sleep(delay)
             try:
-                until = steady_clock() + LOOK_TIMEOUT
+                until = steady_clock() + PROBE_TIMEOUT
                 await self._client.try_connect(backend.address, until)
             except AttemptFailed as error:
                 self._log.info("port_looked_at", backend=backend.backend_id, problem=error.problem)
                 if error.by_other_end:
-                    self.note_refused(backend)
+                    self.record_refused_connection(backend)
                 return
         self._ledger.record_alive(backend.backend_id)
 
-    def _tell(self, event: quarantine_updates.Event, now: Seconds) -> None:
-        """Count an event, and log it unless there are too many."""
+    def _record_event(self, event: quarantine_updates.Event, now: Seconds) -> None:
+        """Count an event, and log it unless the limit of log lines is reached."""
         match event:
             case quarantine_updates.BackendEnded():
                 self._telemetry.backend_crashes.inc()
@@ -106,7 +110,7 @@
                 self._telemetry.quarantines.labels("began").inc()
             case quarantine_updates.QuarantineEnded():
                 self._telemetry.quarantines.labels("ended").inc()
-        if self._lines.allows():
+        if self._line_limit.allows():
             self._write_line(event, now)
 
     def _write_line(self, event: quarantine_updates.Event, now: Seconds) -> None:
--- a/src/limedeck/node/gateway.py
+++ b/src/limedeck/node/gateway.py
@@ -1,4 +1,4 @@
-"""The HTTP side towards callers: reads requests, drives their cores, passes answers on."""
+"""HTTP gateway for callers: reads requests, runs their request cores, forwards responses."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from limedeck.node.state import NodeState
 from limedeck.routing.outcomes import SURELY_NOT_RUN, AttemptFailed, FailurePhase, Outcome
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -44,42 +44,44 @@
         b"expect",
     }
 )
-"""Headers that concern only one connection."""
-NO_SUCH_ROUTE = 404
-BAD_REQUEST = 400
-TOO_LARGE = 413
-NOT_RUN = 503
-LOST = 502
-TIMED_OUT = 504
+"""Headers that apply to a single connection and are not forwarded."""
+NO_ROUTE_STATUS = 404
+BAD_REQUEST_STATUS = 400
+TOO_LARGE_STATUS = 413
+NOT_RUN_STATUS = 503
+LOST_STATUS = 502
+TIMED_OUT_STATUS = 504
 START_RETRY_AFTER: Seconds = 0.3
-"""A node that starts has read its configuration after about so long."""
+"""About the time in which a starting node has read its configuration."""
 STOP_RETRY_AFTER: Seconds = 0.02
-"""Another node can take the request at once; spares a client that returns in the same instant."""
-LONGEST_DEADLINE: Seconds = 3600.0
+"""Another node can take the request at once; the pause avoids a tight retry loop of a client."""
+MAX_REQUEST_TIME: Seconds = 3600.0
 
 
 class CallerLeft(Exception):
-    """The caller closed its connection before it had sent all of its request."""
+    """The caller closed its connection before it had sent its whole request."""
 
 
 class BodyTooLarge(Exception):
-    """The request's body is above the limit."""
+    """The request's body exceeds the size limit."""
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """One request as it came in.
+    """A caller's request and the state of its processing.
 
     Parameters
     ----------
-    left
+    headers
+        The headers that are forwarded to back ends.
+    caller_left
         The caller has closed its connection.
-    ended
-        This process is about to end.
+    process_exiting
+        This process is about to exit.
+    error_response
+        The last error response of a back end; forwarded if no other response arrives.
     scope
-        Cancels what is under way for it.
-    error_answer
-        The last answer by which a back end told that it failed: passed on if no other comes.
+        Cancels the attempt or wait in progress.
     """
 
     request_id: bytes
@@ -88,9 +90,9 @@
     route: Route
     core: RequestCore
     arrived_at: Seconds
-    left: bool = False
-    ended: bool = False
-    error_answer: HttpResponse | None = None
+    caller_left: bool = False
+    process_exiting: bool = False
+    error_response: HttpResponse | None = None
     scope: anyio.CancelScope | None = None
 
 
@@ -113,21 +115,22 @@
         self._client = client
         self._log = log
         self._reader = response_reader.ResponseReader(state.directory, protocol, log)
-        self._open: set[_Call] = set()
+        self._open_requests: set[_Call] = set()
 
-    def end_open(self) -> None:
-        """Answer what is under way by what is known of it: this process is about to end.
+    def cancel_open_requests(self) -> None:
+        """Cancel the open requests and respond to each: this process is about to exit.
 
-        A request that is cut off with its task would be answered 500 by the server's library, which
-        says neither whether it may have run nor, in a log line, which one it was.
+        If the tasks of the requests were cancelled instead, the HTTP server library would respond
+        with status 500, which does not say whether a request may have run, and would not log which
+        request it was.
         """
-        for call in self._open:
-            call.ended = True
+        for call in self._open_requests:
+            call.process_exiting = True
             if call.scope is not None:
                 call.scope.cancel()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Handle one request."""
+        """Handle a request."""
         if scope["type"] != "http":
             return
         now = steady_clock()
@@ -135,34 +138,34 @@
         routes = self._state.routes
         configuration = self._state.configuration
         if self._state.closing:
-            await self._say(send, NOT_RUN, STOP_RETRY_AFTER)
+            await self._respond(send, NOT_RUN_STATUS, STOP_RETRY_AFTER)
             return
         if routes is None or configuration is None:
-            await self._say(send, NOT_RUN, START_RETRY_AFTER)
+            await self._respond(send, NOT_RUN_STATUS, START_RETRY_AFTER)
             return
         path = scope["raw_path"].decode("latin-1").partition("?")[0]
         host = headers.get(b"host", b"").decode("latin-1").lower().partition(":")[0]
         route = routes.find(host, path)
         request_id = self._protocol.request_id(headers)
         if route is None or request_id is None:
-            self._log.unroutable(host, path, configuration.version, request_id)
-            await self._say(send, NO_SUCH_ROUTE if route is None else BAD_REQUEST)
+            self._log.record_unroutable(host, path, configuration.version, request_id)
+            await self._respond(send, NO_ROUTE_STATUS if route is None else BAD_REQUEST_STATUS)
             return
         try:
             body = await _read_body(receive, configuration.limits.body_bytes)
         except CallerLeft:
             return
         except BodyTooLarge:
-            await self._say(send, TOO_LARGE)
+            await self._respond(send, TOO_LARGE_STATUS)
             return
-        call = self._call(scope, headers, route, request_id, body, now)
+        call = self._create_call(scope, headers, route, request_id, body, now)
         try:
             await self._serve(call, receive, send)
         except Exception as error:
-            self._log.broken(request_id, error)
+            self._log.record_internal_error(request_id, error)
             raise
 
-    def _call(
+    def _create_call(
         self,
         scope: Scope,
         headers: dict[bytes, bytes],
@@ -172,14 +175,14 @@
         now: Seconds,
     ) -> _Call:
         time_left = self._protocol.time_left(headers)
-        deadline = now + min(time_left or LONGEST_DEADLINE, LONGEST_DEADLINE)
+        deadline = now + min(time_left or MAX_REQUEST_TIME, MAX_REQUEST_TIME)
         service = self._state.service(choose_service(route, request_id))
         service.budget.record_request(now)
         position = self._protocol.key_position(headers) if service.keyed else None
         is_client_retry = service.record_wait(route.name, deadline - now)
         if position is not None and not is_client_retry:
             service.key_counts[position] += 1
-        content = _content(scope, route.host, body, position)
+        content = _request_content(scope, route.host, body, position)
         core = RequestCore(
             request_id,
             route,
@@ -191,35 +194,35 @@
             is_client_retry,
             RequestGuard(self._state.quarantine, content),
         )
-        passed = self._passed_headers(scope["headers"], body)
-        return _Call(request_id, content, passed, route, core, now)
+        forwarded = self._forwarded_headers(scope["headers"], body)
+        return _Call(request_id, content, forwarded, route, core, now)
 
-    def _passed_headers(self, headers: Headers, body: bytes) -> Headers:
-        named = _named_by_connection(headers)
-        dropped = CONNECTION_HEADERS | self._protocol.reserved_headers | named
-        passed = [
+    def _forwarded_headers(self, headers: Headers, body: bytes) -> Headers:
+        connection_options = _connection_options(headers)
+        excluded = HOP_BY_HOP_HEADERS | self._protocol.reserved_headers | connection_options
+        forwarded = [
             (name, value)
             for name, value in headers
-            if name not in dropped and name != b"content-length"
+            if name not in excluded and name != b"content-length"
         ]
         had_body = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
         if body or had_body:
-            passed.append((b"content-length", b"%d" % len(body)))
-        return passed
+            forwarded.append((b"content-length", b"%d" % len(body)))
+        return forwarded
 
     async def _serve(self, call: _Call, receive: Receive, send: Send) -> None:
         self._state.in_flight += 1
-        self._open.add(call)
+        self._open_requests.add(call)
         try:
-            await self._serve_watched(call, receive, send)
+            await self._serve_until_disconnect(call, receive, send)
         finally:
-            self._open.discard(call)
+            self._open_requests.discard(call)
             self._state.in_flight -= 1
             if self._state.stopping:
                 self._state.notify()
 
-    async def _serve_watched(self, call: _Call, receive: Receive, send: Send) -> None:
-        """Run a request; a repeatable one is cancelled when its caller leaves."""
+    async def _serve_until_disconnect(self, call: _Call, receive: Receive, send: Send) -> None:
+        """Serve a request; cancel it if it is repeatable and its caller disconnects."""
         result: HttpResponse | Refuse | None = None
         async with anyio.create_task_group() as tasks:
             call.scope = tasks.cancel_scope
@@ -227,53 +230,55 @@
             async def watch() -> None:
                 while (await receive())["type"] != "http.disconnect":
                     pass
-                call.left = True
+                call.caller_left = True
                 if call.route.repeatable:
                     tasks.cancel_scope.cancel()
 
             tasks.start_soon(watch)
             result = await self._run(call)
             tasks.cancel_scope.cancel()
-        if result is None and call.ended:
+        if result is None and call.process_exiting:
             result = call.core.give_up()
-        if result is None or call.left:
-            self._log.caller_left(call.request_id, call.core, call.arrived_at)
+        if result is None or call.caller_left:
+            self._log.record_caller_left(call.request_id, call.core, call.arrived_at)
             return
         if isinstance(result, Refuse):
-            self._log.refused(call.request_id, call.core, result, call.arrived_at)
+            self._log.record_refusal(call.request_id, call.core, result, call.arrived_at)
             await self._refuse(send, result)
             return
-        self._log.answered(call.request_id, call.core, result.status, call.arrived_at)
-        await self._pass_on(send, result)
+        self._log.record_response(call.request_id, call.core, result.status, call.arrived_at)
+        await self._forward_response(send, result)
 
     async def _run(self, call: _Call) -> HttpResponse | Refuse | None:
         core = call.core
         command = self._next_command(core)
         while True:
             if isinstance(command, Refuse):
-                return call.error_answer or command
-            if call.left:
+                return call.error_response or command
+            if call.caller_left:
                 return None
             if isinstance(command, Wait):
                 await self._state.wait_for_change(command.until - steady_clock())
                 command = self._next_command(core)
                 continue
             if isinstance(command, RequestPermit):
-                answer = await self._permits.request(command.permit_request)
+                response = await self._permits.request(command.permit_request)
                 now = steady_clock()
-                command = core.handle_permit(command, answer, now, self._state.retry_sharers(now))
+                command = core.handle_permit(
+                    command, response, now, self._state.retry_sharing_nodes(now)
+                )
                 continue
             result = await self._attempt(call, command)
             if isinstance(result, HttpResponse):
                 return result
             phase, wrong_owner = result
             now = steady_clock()
-            sharing_nodes = self._state.retry_sharers(now)
+            sharing_nodes = self._state.retry_sharing_nodes(now)
             command = core.handle_failure(phase, now, sharing_nodes, wrong_owner)
 
     def _next_command(self, core: RequestCore) -> Command:
         now = steady_clock()
-        return core.next_command(now, self._state.retry_sharers(now))
+        return core.next_command(now, self._state.retry_sharing_nodes(now))
 
     async def _attempt(
         self, call: _Call, attempt: Attempt
@@ -287,68 +292,71 @@
             call.content.target,
             call.headers + added,
             call.content.body,
-            # A busy back end resets some new connections; the caller is then told the truth.
+            # A busy back end resets some new connections. If the reset comes before the request is
+            # sent, the caller can be told that it has not run.
             watched=not call.route.repeatable or attempt.ahead >= backend.slots,
         )
         attempt.state.outstanding += 1
         try:
-            answer = await self._client.exchange(request, attempt.until)
+            response = await self._client.exchange(request, attempt.until)
         except AttemptFailed as error:
-            self._note_failed(call, attempt, error)
-            self._log.attempt_lost(
+            self._record_failed_attempt(call, attempt, error)
+            self._log.record_lost_attempt(
                 call.request_id, call.content, backend, error.phase, error.problem
             )
             return error.phase, False
         finally:
             attempt.state.outstanding -= 1
-        return self._judge(call, attempt, answer, started)
+        return self._evaluate_response(call, attempt, response, started)
 
-    def _judge(
-        self, call: _Call, attempt: Attempt, answer: HttpResponse, started: Seconds
+    def _evaluate_response(
+        self, call: _Call, attempt: Attempt, response: HttpResponse, started: Seconds
     ) -> HttpResponse | tuple[FailurePhase, bool]:
-        """Return an answer that may be passed on, or how the attempt failed."""
-        result = self._reader.read(call.request_id, attempt, answer, started)
+        """Return a response that may be forwarded, or how the attempt failed."""
+        result = self._reader.read(call.request_id, attempt, response, started)
         if result.phase is None:
             if call.core.guard is not None:
                 call.core.guard.record_served(result.received_at)
-            took = result.received_at - started
+            duration = result.received_at - started
             attempt.state.record_response(
-                took, result.load, result.received_at, call.route.name, attempt.ahead
+                duration, result.load, result.received_at, call.route.name, attempt.ahead
             )
-            return answer
+            return response
         if result.phase is FailurePhase.ERROR_ANSWER:
-            call.error_answer = answer
+            call.error_response = response
         return result.phase, result.wrong_owner
 
-    def _note_failed(self, call: _Call, attempt: Attempt, error: AttemptFailed) -> None:
-        """Take in what a failed attempt says of the back end, and of the request."""
+    def _record_failed_attempt(self, call: _Call, attempt: Attempt, error: AttemptFailed) -> None:
+        """Record what a failed attempt shows about the back end and about the request."""
         backend = attempt.state.backend
         now = steady_clock()
         if error.by_other_end and error.phase is FailurePhase.NOT_CONNECTED:
-            self._watch.note_refused(backend)
+            self._watch.record_refused_connection(backend)
             return
         if error.by_other_end and error.phase not in SURELY_NOT_RUN:
             self._watch.record_lost_request(backend, call.content)
         if now < attempt.until:
             attempt.state.record_failure(now, own_fault=attempt.ahead < backend.slots)
 
-    async def _pass_on(self, send: Send, answer: HttpResponse) -> None:
-        dropped = CONNECTION_HEADERS | _named_by_connection(answer.headers)
+    async def _forward_response(self, send: Send, response: HttpResponse) -> None:
+        excluded = HOP_BY_HOP_HEADERS | _connection_options(response.headers)
         headers = [
             (name, value)
-            for name, value in answer.headers
-            if name not in dropped and name != b"content-length"
+            for name, value in response.headers
+            if name not in excluded and name != b"content-length"
         ]
-        headers.append((b"content-length", b"%d" % len(answer.body)))
-        await self._send(send, answer.status, headers, answer.body)
+        headers.append((b"content-length", b"%d" % len(response.body)))
+        await self._send(send, response.status, headers, response.body)
 
     async def _refuse(self, send: Send, refuse: Refuse) -> None:
         if refuse.outcome is Outcome.NOT_RUN:
-            await self._say(send, NOT_RUN, refuse.retry_after)
+            await self._respond(send, NOT_RUN_STATUS, refuse.retry_after)
             return
-        await self._say(send, TIMED_OUT if refuse.reason is RefusalReason.TIMED_OUT else LOST)
+        await self._respond(
+            send, TIMED_OUT_STATUS if refuse.reason is RefusalReason.TIMED_OUT else LOST_STATUS
+        )
 
-    async def _say(self, send: Send, status: int, retry_after: Seconds | None = None) -> None:
+    async def _respond(self, send: Send, status: int, retry_after: Seconds | None = None) -> None:
         headers = [(b"content-length", b"0")]
         if retry_after is not None:
             headers.append(self._protocol.retry_after(retry_after))
@@ -361,7 +369,7 @@
         await send({"type": "http.response.body", "body": body})
 
 
-def _content(scope: Scope, host: str, body: bytes, position: int | None) -> RequestContent:
+def _request_content(scope: Scope, host: str, body: bytes, position: int | None) -> RequestContent:
     target = scope["raw_path"]
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
@@ -385,8 +393,8 @@
             return b"".join(parts)
 
 
-def _named_by_connection(headers: Headers) -> frozenset[bytes]:
-    """Names that the Connection header declares to concern this connection only."""
+def _connection_options(headers: Headers) -> frozenset[bytes]:
+    """Return the header names that the Connection header lists as hop-by-hop."""
     names = [
         part.strip().lower()
         for name, value in headers
--- a/src/limedeck/node/http_server.py
+++ b/src/limedeck/node/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server inside this process, on a socket that the process keeps at hand."""
+"""An HTTP server embedded in this process, on a listening socket that the process owns."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from limedeck.identity import Seconds
 from limedeck.node import asgi, listener
 
-KEEP_ALIVE = 60
-"""Seconds that an idle connection of a caller is kept; an estimate."""
+IDLE_CONNECTION_TIMEOUT = 60
+"""Time after which an idle connection of a caller is closed, in seconds."""
 
 
 MAX_HEAD_SIZE = 128 * 1024
-"""Bytes of a request's head, eight times what callers are told that they may send. The library
-keeps whatever comes until the head has ended."""
+"""Bytes of a request's head: eight times the limit that is documented for callers. The library
+itself buffers a head of any size until it has ended."""
 HEAD_TOO_LARGE = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"content-length: 0\r\nconnection: close\r\n\r\n"
@@ -27,15 +27,15 @@
 
 
 class BoundedProtocol(httptools_impl.HttpToolsProtocol):
-    """A caller's connection; one whose request's head does not end is answered and closed."""
+    """A caller's connection, closed with status 431 if the head of a request is too large."""
 
-    _reads_head = False
+    _is_reading_head = False
     _head_bytes = 0
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Process received bytes and check the size of the head."""
         super().data_received(data)
-        if not self._reads_head:
+        if not self._is_reading_head:
             return
         self._head_bytes += len(data)
         if self._head_bytes > MAX_HEAD_SIZE and not self.transport.is_closing():
@@ -43,23 +43,23 @@
             self.transport.close()
 
     def on_message_begin(self) -> None:
-        """A request's head begins."""
-        self._reads_head = True
+        """Start counting the bytes of a request's head."""
+        self._is_reading_head = True
         self._head_bytes = 0
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """The head has ended."""
-        self._reads_head = False
+        """Stop counting the bytes of the head."""
+        self._is_reading_head = False
         super().on_headers_complete()
 
 
 class EmbeddedServer(uvicorn.Server):
-    """Leaves signals to the process around it."""
+    """Leaves signal handling to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Handle none."""
+        """Install no signal handlers."""
         yield
 
 
@@ -67,16 +67,16 @@
     application: asgi.Application,
     listening: socket.socket,
     stop: anyio.Event,
-    last_answers: Seconds,
+    shutdown_timeout: Seconds,
 ) -> None:
-    """Serve an application until the event is set, and end its connections then.
+    """Serve an application until the event is set, then close its connections.
 
     Parameters
     ----------
-    last_answers
-        Time for answers that are being written then.
+    shutdown_timeout
+        Time after the event in which responses in progress are completed.
     """
-    cfg = uvicorn.Config(
+    config = uvicorn.Config(
         application,
         http=BoundedProtocol,
         ws="none",
@@ -88,17 +88,17 @@
         proxy_headers=False,
         server_header=False,
         date_header=False,
-        timeout_keep_alive=KEEP_ALIVE,
-        timeout_graceful_shutdown=last_answers,  # type: ignore[arg-type]
+        timeout_keep_alive=IDLE_CONNECTION_TIMEOUT,
+        timeout_graceful_shutdown=shutdown_timeout,  # type: ignore[arg-type]
         backlog=listener.LISTEN_BACKLOG,
     )
-    server = EmbeddedServer(cfg)
+    server = EmbeddedServer(config)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_stop_when, stop, server)
+        tasks.start_soon(_request_exit, stop, server)
         await server.serve([listening])
         tasks.cancel_scope.cancel()
 
 
-async def _stop_when(stop: anyio.Event, server: EmbeddedServer) -> None:
+async def _request_exit(stop: anyio.Event, server: EmbeddedServer) -> None:
     await stop.wait()
     server.should_exit = True
--- a/src/limedeck/node/inspection.py
+++ b/src/limedeck/node/inspection.py
@@ -1,5 +1,5 @@
-"""Shows operators what a node believes: who leads and why, who owns which keys, which back ends
-are in need. It changes nothing."""
+"""Read-only views of a node's state for operators: the leader and why it was elected, the owners of
+keys, and the conditions of back ends."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 OK = 200
 NOT_FOUND = 404
-LONGEST_POSITION = 20
-"""Characters; a longer number is no key's."""
-DIGITS = 3
-"""Decimals of the spans that are shown."""
+MAX_POSITION_LENGTH = 20
+"""Characters; no key position has more digits."""
+DECIMAL_PLACES = 3
+"""Decimal places of times and loads in views."""
 
 
 class NotShown(LimedeckError):
-    """There is no such thing to show."""
+    """The requested view does not exist."""
 
 
 class NodeInspector:
-    """One node's beliefs, as operators are shown them."""
+    """Builds the views of one node's state."""
 
     def __init__(self, node_id: str, zone: str, state: NodeState, election: ElectionCore) -> None:
         self._node_id = node_id
@@ -49,7 +49,7 @@
         self._election = election
 
     def status(self, now: Seconds) -> StatusView:
-        """Show the node, its leader, its services and its back ends."""
+        """Return the state of the node, its leader, its services and its back ends."""
         state = self._state
         leadership = self._election.leadership(now)
         return StatusView(
@@ -61,13 +61,13 @@
             leads=self._election.role is Role.LEADER,
             nodes=state.fleet_size.latest(now),
             configuration=state.configuration.version if state.configuration else 0,
-            leader=_leader(leadership) if leadership is not None else None,
+            leader=_leader_view(leadership) if leadership is not None else None,
             services=[
-                _service(name, view.keyed, view.owners)
+                _service_view(name, view.keyed, view.owners)
                 for name, view in sorted(state.services.items())
             ],
             backends=[
-                self._backend(item, now)
+                self._backend_view(item, now)
                 for item in sorted(
                     state.directory.all_states(),
                     key=lambda item: (item.backend.service, item.backend.backend_id),
@@ -76,39 +76,41 @@
         )
 
     def assignment(self, service: str) -> AssignmentView:
-        """Show the owners of a service's keys.
+        """Return the owners of a service's keys.
 
         Raises
         ------
         NotShown
-            No such service has keys here.
+            This node knows no keyed service of this name.
         """
         owners = self._owners(service)
-        return AssignmentView(service, owners.version, [_range(item) for item in owners.ranges])
+        return AssignmentView(
+            service, owners.version, [_range_view(item) for item in owners.ranges]
+        )
 
     def locate(self, service: str, position: int, now: Seconds) -> LocationView:
-        """Show where requests for a key go.
+        """Return the owner of a key.
 
         Raises
         ------
         NotShown
-            No such service has keys here, or the position is none of a key.
+            This node knows no keyed service of this name, or no range contains the position.
         """
         owners = self._owners(service)
         for item in owners.ranges:
             if item.first <= position <= item.last:
                 found = self._state.directory.find(item.owner)
-                owner = self._backend(found, now) if found is not None else None
-                return LocationView(service, position, _range(item), owner)
-        raise NotShown(f"{position} is no position of a key of {service}")
+                owner = self._backend_view(found, now) if found is not None else None
+                return LocationView(service, position, _range_view(item), owner)
+        raise NotShown(f"position {position} is in no key range of service {service}")
 
     def _owners(self, service: str) -> OwnerMap:
         view = self._state.services.get(service)
         if view is None or not view.keyed:
-            raise NotShown(f"no service with keys is named {service}")
+            raise NotShown(f"no keyed service is named {service}")
         return view.owners
 
-    def _backend(self, state: BackendState, now: Seconds) -> BackendView:
+    def _backend_view(self, state: BackendState, now: Seconds) -> BackendView:
         backend = state.backend
         bound = self._state.directory.availability.rate_bound(state, now)
         return BackendView(
@@ -118,12 +120,12 @@
             address=backend.address,
             conditions=self._conditions(state, now),
             bound=bound.rate if bound is not None else None,
-            load=round(state.expected_load(now), DIGITS),
+            load=round(state.expected_load(now), DECIMAL_PLACES),
         )
 
     def _conditions(self, state: BackendState, now: Seconds) -> list[str]:
         directory = self._state.directory
-        holds = {
+        conditions = {
             "draining": state.backend.draining,
             "evacuated": state.backend.zone in directory.availability.evacuated,
             "cold": state.is_cold(now),
@@ -132,17 +134,17 @@
             "limited": directory.limits.rate(state.backend.backend_id) is not None,
             "passed-over": state.is_ejected(now),
         }
-        return [name for name, is_so in holds.items() if is_so]
+        return [name for name, applies in conditions.items() if applies]
 
 
 class InspectionApplication:
-    """ASGI application: answers operators' questions to one node."""
+    """ASGI application that serves the views of one node as JSON."""
 
     def __init__(self, inspector: NodeInspector) -> None:
         self._inspector = inspector
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle a request."""
         try:
             status, view = OK, self._view(scope["path"])
         except NotShown as error:
@@ -160,30 +162,30 @@
         if path.startswith(LOCATE_PATH):
             service, _, position = path.removeprefix(LOCATE_PATH).rpartition("/")
             return self._inspector.locate(service, _position(position), steady_clock())
-        raise NotShown(f"nothing is shown at {path}")
+        raise NotShown(f"no view at {path}")
 
 
 def _position(text: str) -> int:
-    if not (text.isascii() and text.isdigit() and len(text) <= LONGEST_POSITION):
-        raise NotShown(f"{text!r} is no position of a key")
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_POSITION_LENGTH):
+        raise NotShown(f"{text!r} is not a key position")
     return int(text)
 
 
-def _leader(leadership: Leadership) -> LeaderView:
+def _leader_view(leadership: Leadership) -> LeaderView:
     return LeaderView(
         term=leadership.term,
         node=leadership.node_id,
         why=leadership.why,
-        known_for=round(leadership.known_for, DIGITS),
-        heard_ago=round(leadership.heard_ago, DIGITS),
+        known_for=round(leadership.known_for, DECIMAL_PLACES),
+        heard_ago=round(leadership.heard_ago, DECIMAL_PLACES),
         suspicion=leadership.suspicion.value if leadership.suspicion is not None else "",
     )
 
 
-def _service(name: str, keyed: bool, owners: OwnerMap) -> ServiceView:
-    without = sum(not item.owner for item in owners.ranges)
-    return ServiceView(name, keyed, owners.version, len(owners.ranges), without)
+def _service_view(name: str, keyed: bool, owners: OwnerMap) -> ServiceView:
+    unowned = sum(not item.owner for item in owners.ranges)
+    return ServiceView(name, keyed, owners.version, len(owners.ranges), unowned)
 
 
-def _range(item: OwnedRange) -> RangeView:
+def _range_view(item: OwnedRange) -> RangeView:
     return RangeView(item.first, item.last, item.owner)
--- a/src/limedeck/node/listener.py
+++ b/src/limedeck/node/listener.py
@@ -1,4 +1,4 @@
-"""The socket that callers connect to, kept at hand so that a stop can shut it first."""
+"""The listening socket for callers, which a graceful shutdown closes before the HTTP server."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from limedeck.identity import Seconds
 
 LISTEN_BACKLOG = 512
-"""Connections that wait to be accepted: all callers of a node that return at once; an estimate."""
-QUIET_TIME: Seconds = 0.25
-"""After the listener is shut, so long for requests on connections taken just before."""
+"""Connections waiting to be accepted: enough for all callers of a node reconnecting at once."""
+LATE_REQUEST_TIME: Seconds = 0.25
+"""After the listener is closed, requests may still arrive for this long on connections that were
+accepted just before."""
 
 
 def open_listener(address: str) -> socket.socket:
@@ -28,12 +29,12 @@
     return listener
 
 
-async def close_to_newcomers(listener: socket.socket) -> None:
-    """Take no more connections, and let requests come in on those taken just before.
+async def stop_accepting(listener: socket.socket) -> None:
+    """Accept no more connections, and wait for requests on those that were accepted just before.
 
-    The server's own stop closes every connection that has no request yet, among them those
-    whose request is on its way.
+    The HTTP server's own shutdown closes every connection that has no request yet, including
+    those whose request is on its way.
     """
     await anyio.lowlevel.checkpoint()
     listener.shutdown(socket.SHUT_RDWR)
-    await anyio.sleep(QUIET_TIME)
+    await anyio.sleep(LATE_REQUEST_TIME)
--- a/src/limedeck/node/logs.py
+++ b/src/limedeck/node/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs to standard output: bounded, and never waited for."""
+"""Structured logs to standard output, with a bounded buffer and without blocking."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from limedeck.identity import Seconds
 
 Logger = structlog.typing.FilteringBoundLogger
-LONGEST_BACKLOG = 512 * 1024
-"""Bytes kept for a reader that does not read; what comes beyond is dropped."""
+MAX_BUFFER_BYTES = 512 * 1024
+"""Bytes buffered while the reader is stalled; further lines are dropped."""
 
 
 class BoundedWriter:
-    """Writes lines to a descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without blocking on its reader."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._backlog: deque[bytes] = deque()
-        self._backlog_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write_line(self, line: str) -> None:
-        """Write a line, keep it for later, or drop it."""
+        """Write a line, buffer it, or drop it if the buffer is full."""
         data = line.encode() + b"\n"
-        if self._backlog_bytes + len(data) > LONGEST_BACKLOG:
+        if self._buffered_bytes + len(data) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
-        self._backlog.append(data)
-        self._backlog_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
         self.flush()
 
     def flush(self) -> None:
-        """Write as much of the backlog as the reader takes now."""
-        while self._backlog:
-            data = self._backlog[0]
+        """Write as much of the buffer as possible without blocking."""
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
@@ -49,15 +49,15 @@
             except OSError:
                 written = len(data)
                 self.dropped += 1
-            self._backlog_bytes -= written
+            self._buffered_bytes -= written
             if written == len(data):
-                self._backlog.popleft()
+                self._buffer.popleft()
             else:
-                self._backlog[0] = data[written:]
+                self._buffer[0] = data[written:]
 
 
 class _LineLogger:
-    """What structlog hands finished lines to."""
+    """Receives the rendered lines from structlog."""
 
     def __init__(self, writer: BoundedWriter) -> None:
         self._writer = writer
@@ -69,7 +69,7 @@
 
 
 def configure_logs(level: str) -> BoundedWriter:
-    """Send JSON lines to standard output, from a level on."""
+    """Send JSON lines of at least the given level to standard output."""
     writer = BoundedWriter(sys.stdout.fileno())
 
     def make_logger(*_: Any) -> _LineLogger:
@@ -91,7 +91,7 @@
 
 
 def get_logger(component: str) -> Logger:
-    """Return a logger whose lines name the component."""
+    """Return a logger whose lines contain the component's name."""
     logger: Logger = structlog.get_logger(component=component)
     return logger
 
@@ -102,21 +102,23 @@
 
 
 class RateLimit:
-    """Lets so many lines a second through, and counts the rest."""
+    """Allows a number of lines per second, and counts the suppressed ones."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
-        self._left = float(per_second)
-        self._at: Seconds = steady_clock()
-        self.held_back = 0
+        self._tokens = float(per_second)
+        self._refilled_at: Seconds = steady_clock()
+        self.suppressed = 0
 
     def allows(self) -> bool:
         """Whether one more line may be written now."""
         now = steady_clock()
-        self._left = min(self._left + (now - self._at) * self._per_second, self._per_second)
-        self._at = now
-        if self._left < 1.0:
-            self.held_back += 1
+        self._tokens = min(
+            self._tokens + (now - self._refilled_at) * self._per_second, self._per_second
+        )
+        self._refilled_at = now
+        if self._tokens < 1.0:
+            self.suppressed += 1
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
--- a/src/limedeck/node/main.py
+++ b/src/limedeck/node/main.py
@@ -1,7 +1,7 @@
 """The node's command: ``python3 -m limedeck.node --settings FILE``.
 
-Its two options are read by the standard library: cleo and what it imports are a sixteenth of the
-time that a node takes to start, and hundreds of nodes may start at once (docs/LIBRARIES.md).
+Its two options are parsed by the standard library: importing cleo and its dependencies would take a
+sixteenth of a node's start-up time, and hundreds of nodes may start at once (docs/LIBRARIES.md).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def run_command(arguments: Sequence[str]) -> int:
-    """Check the settings, then run one node until it is told to stop by SIGTERM or SIGINT."""
+    """Validate the settings, then run a node until SIGTERM or SIGINT stops it."""
     options = _parser().parse_args(arguments)
     try:
         settings = load_node_settings(options.settings)
@@ -48,7 +48,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command and exit with its exit code."""
     sys.exit(run_command(sys.argv[1:]))
 
 
--- a/src/limedeck/node/notifier.py
+++ b/src/limedeck/node/notifier.py
@@ -1,4 +1,4 @@
-"""News for many tasks that wait."""
+"""Notifications for several waiting tasks."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class Notifier:
-    """Wakes all that wait for news, and whoever did not wait when they came.
+    """Wakes all tasks that wait for changes, and counts changes for tasks that are not waiting.
 
     Attributes
     ----------
     count
-        How often news came.
+        The number of changes so far.
     """
 
     def __init__(self) -> None:
@@ -21,15 +21,15 @@
         self._event = anyio.Event()
 
     def give(self) -> None:
-        """There are news."""
+        """Record a change, and wake all waiting tasks."""
         self.count += 1
         self._event.set()
         self._event = anyio.Event()
 
-    async def wait_beyond(self, known: int, longest: Seconds) -> None:
-        """Wait until news came after those that are known, for at most so long."""
+    async def wait_beyond(self, known: int, timeout: Seconds) -> None:
+        """Wait until there are more changes than the known ones, for at most the given time."""
         if self.count > known:
             return
         event = self._event
-        with anyio.move_on_after(longest):
+        with anyio.move_on_after(timeout):
             await event.wait()
--- a/src/limedeck/node/quarantine_record.py
+++ b/src/limedeck/node/quarantine_record.py
@@ -1,7 +1,7 @@
-"""Keeps quarantines in the store, so that they outlast an end of all nodes at once.
+"""Keeps quarantines in the store, so that they survive a failure of all nodes at once.
 
-The leader reads them when it takes office, writes what changes, and tells all nodes that follow it.
-A node that starts while there is no leader reads them itself.
+The leader reads them once it is elected, writes changes, and sends them to all nodes that follow
+it. A node that starts while there is no leader reads them itself.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 )
 
 QUARANTINE_ROW = RowKey("limedeck_quarantine", "", "requests")
-INTERVAL: Seconds = 1.0
-"""Between two looks, and so between two writes: a call costs the store little, and callers whose
-request ends back ends come again within about so long."""
+CHECK_INTERVAL: Seconds = 1.0
+"""Time between two checks, and so the shortest time between two writes. A call costs the store
+little, and callers repeat a request that crashes back ends after about this time."""
 
 
 class QuarantineRecordKeeper:
-    """Reads the record if nobody tells this node, and writes it while this node leads.
+    """Reads the record if no leader sends quarantines, and writes it while this node leads.
 
     Parameters
     ----------
     hears_leader
-        Whether a leader tells this node what it knows. It need not ask the store then: a site of
-        hundreds of nodes makes some ten calls for each at a start.
+        Whether this node receives quarantines from a leader and need not read them from the store:
+        when a site of hundreds of nodes starts, each node already makes some ten calls to it.
     """
 
     def __init__(
@@ -54,51 +54,51 @@
         self._ledger = ledger
         self._store = store
         self._control = control
-        self._kept: frozenset[tuple[int, int]] | None = None
+        self._stored: frozenset[tuple[int, int]] | None = None
         self._log = get_logger("quarantine")
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Read or write the record at intervals until cancelled."""
         while True:
-            await anyio.sleep(INTERVAL)
+            await anyio.sleep(CHECK_INTERVAL)
             try:
-                await self._look()
+                await self._update()
             except (StoreError, PlatformProtocolError) as error:
                 self._log.info("quarantine_record_missed", problem=str(error))
 
-    async def _look(self) -> None:
-        if self._kept is None:
+    async def _update(self) -> None:
+        if self._stored is None:
             if not self._hears_leader():
                 await self._read()
-        elif self._control.leads and self._kept != _marks(self._ledger.quarantines()):
+        elif self._control.leads and self._stored != _record_keys(self._ledger.quarantines()):
             await self._write()
 
     async def _read(self) -> None:
-        found = await self._store.read(QUARANTINE_ROW.table, QUARANTINE_ROW.part)
+        table = await self._store.read(QUARANTINE_ROW.table, QUARANTINE_ROW.part)
         now = steady_clock()
         record = control_pb2.QuarantineRecord()
-        for row in found.rows:
+        for row in table.rows:
             try:
                 record = control_pb2.QuarantineRecord.FromString(row.value)
             except DecodeError as error:
                 raise PlatformProtocolError(f"row {row.key}", str(error)) from error
-        offset = now - found.store_time
-        kept = [
+        offset = now - table.store_time
+        quarantines = [
             quarantine_updates.Quarantine(
                 row.request, row.level, row.began + offset, row.ends + offset
             )
             for row in record.rows
         ]
-        self._ledger.apply(kept, self, now)
-        self._kept = _marks(kept)
-        if kept:
-            self._log.info("quarantine_record_read", requests=len(kept))
+        self._ledger.apply(quarantines, self, now)
+        self._stored = _record_keys(quarantines)
+        if quarantines:
+            self._log.info("quarantine_record_read", requests=len(quarantines))
 
     async def _write(self) -> None:
-        kept = self._ledger.quarantines()
+        quarantines = self._ledger.quarantines()
         offset = self._control.store_offset
         record = control_pb2.QuarantineRecord()
-        for item in kept:
+        for item in quarantines:
             record.rows.add(
                 request=item.request,
                 level=item.level,
@@ -112,12 +112,12 @@
         try:
             await self._store.transact([condition], [write])
         except ConditionFailed:
-            # Another node leads, and keeps the record.
-            self._log.info("quarantine_record_left", requests=len(kept))
+            # Another node leads by now and writes the record.
+            self._log.info("quarantine_record_left", requests=len(quarantines))
             return
-        self._kept = _marks(kept)
-        self._log.info("quarantine_record_written", requests=len(kept))
+        self._stored = _record_keys(quarantines)
+        self._log.info("quarantine_record_written", requests=len(quarantines))
 
 
-def _marks(kept: list[quarantine_updates.Quarantine]) -> frozenset[tuple[int, int]]:
-    return frozenset((item.request, item.level) for item in kept)
+def _record_keys(quarantines: list[quarantine_updates.Quarantine]) -> frozenset[tuple[int, int]]:
+    return frozenset((item.request, item.level) for item in quarantines)
--- a/src/limedeck/node/readiness.py
+++ b/src/limedeck/node/readiness.py
@@ -1,4 +1,4 @@
-"""Answers whether this node is ready, its figures, and what operators ask."""
+"""Serves the readiness check, the metrics and the inspection of a node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReadinessApplication:
-    """ASGI application: figures, operators' questions, and any other path for readiness."""
+    """ASGI application: metrics, inspection, and the readiness check on any other path."""
 
     def __init__(self, state: NodeState, telemetry: Telemetry, inspection: Application) -> None:
         self._state = state
@@ -22,18 +22,18 @@
         self._inspection = inspection
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle a request."""
         if scope["type"] != "http":
             return
         if scope["path"] == METRICS_PATH:
-            await _answer(send, READY, self._telemetry.exposition())
+            await _respond(send, READY, self._telemetry.exposition())
         elif scope["path"].startswith(INSPECTION_PREFIX):
             await self._inspection(scope, receive, send)
         else:
-            await _answer(send, READY if self._state.is_ready(steady_clock()) else NOT_READY, b"")
+            await _respond(send, READY if self._state.is_ready(steady_clock()) else NOT_READY, b"")
 
 
-async def _answer(send: Send, status: int, body: bytes) -> None:
+async def _respond(send: Send, status: int, body: bytes) -> None:
     headers = [(b"content-length", b"%d" % len(body)), (b"content-type", b"text/plain")]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body})
--- a/src/limedeck/node/reload.py
+++ b/src/limedeck/node/reload.py
@@ -1,4 +1,4 @@
-"""A settings file that has changed: what is taken up at once, and what waits for a restart."""
+"""Reloads a changed settings file: some sections apply at once, others after a restart."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
     from collections.abc import Callable
 
 
-LIVE_SECTIONS = ("retries", "stop", "log")
-"""Sections that a running process takes up; the others say where it listens and who it is."""
+RELOADABLE_SECTIONS = ("retries", "stop", "log")
+"""Sections that a running process applies. The others, such as its identity and addresses, need a
+restart."""
 
 
 class SettingsFile:
-    """The settings in force, and the file that they come from.
+    """The settings in force and the file that they were read from.
 
     Parameters
     ----------
     in_force
-        As they were read from the file at the start.
+        The settings that were read from the file at the start.
     """
 
     def __init__(self, path: str, in_force: settings.NodeSettings) -> None:
@@ -35,34 +36,34 @@
         self._log = logs.get_logger("settings")
 
     def reload_if_changed(self) -> None:
-        """Take the file up if it is not the one that was read last."""
+        """Reload the file if it has changed since it was last read."""
         if self._read_stamp() != self._stamp:
             self.reload()
 
     def reload(self) -> None:
-        """Take the file up; one that cannot be used leaves the settings in force as they are."""
+        """Reload the file; if it is invalid, the settings in force are kept."""
         self._stamp = self._read_stamp()
         try:
-            found = settings.load_node_settings(self._path)
+            loaded = settings.load_node_settings(self._path)
         except errors.SettingsError as exc:
             self._log.error("settings_refused", problem=str(exc))
             return
-        changed = _differing(self.in_force, found)
-        live = {name: getattr(found, name) for name in changed if name in LIVE_SECTIONS}
-        self.in_force = msgspec.structs.replace(self.in_force, **live)
-        waiting = [name for name in changed if name not in live]
-        self._log.info("reloaded", taken_up=sorted(live), waiting_for_restart=waiting)
-        if live:
+        changed = _changed_sections(self.in_force, loaded)
+        applied = {name: getattr(loaded, name) for name in changed if name in RELOADABLE_SECTIONS}
+        self.in_force = msgspec.structs.replace(self.in_force, **applied)
+        waiting = [name for name in changed if name not in applied]
+        self._log.info("reloaded", taken_up=sorted(applied), waiting_for_restart=waiting)
+        if applied:
             self.on_change(self.in_force)
 
     def _read_stamp(self) -> tuple[int, int] | None:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
 
 
-def _differing(one: settings.NodeSettings, other: settings.NodeSettings) -> list[str]:
-    names = [field.name for field in msgspec.structs.fields(one)]
-    return [name for name in names if getattr(one, name) != getattr(other, name)]
+def _changed_sections(current: settings.NodeSettings, loaded: settings.NodeSettings) -> list[str]:
+    names = [field.name for field in msgspec.structs.fields(current)]
+    return [name for name in names if getattr(current, name) != getattr(loaded, name)]
--- a/src/limedeck/node/request_log.py
+++ b/src/limedeck/node/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests, bounded, and the counters and histograms behind them."""
+"""Rate-limited log lines about requests, and the metrics that count all of them."""
 
 from __future__ import annotations
 
@@ -20,116 +20,122 @@
 from limedeck.node.telemetry import Telemetry
 from limedeck.routing.outcomes import SURELY_NOT_RUN, FailurePhase
 
-LONGEST_TARGET = 200
-"""Characters of a path and query that a line holds."""
+MAX_TARGET_LENGTH = 200
+"""Characters of a path and query that are logged."""
 
 
 class RequestLog:
-    """One line for each decision that ends or repeats a request."""
+    """Logs and counts each decision that ends or repeats a request."""
 
     def __init__(self, settings: LogSection, telemetry: Telemetry) -> None:
-        self.set_bounds(settings)
+        self.apply_settings(settings)
         self._telemetry = telemetry
         self._log = get_logger("requests")
 
-    def set_bounds(self, settings: LogSection) -> None:
-        """Log this much from now on."""
+    def apply_settings(self, settings: LogSection) -> None:
+        """Apply changed settings for sampling and for the rate of log lines."""
         self._sample = max(settings.sample, 1)
-        self._failures = RateLimit(settings.failures_per_second)
+        self._failure_limit = RateLimit(settings.failures_per_second)
 
-    def answered(self, request_id: bytes, core: RequestCore, status: int, since: Seconds) -> None:
-        """A back end's answer is passed on."""
-        took = steady_clock() - since
-        self._count(core, "answered", took)
+    def record_response(
+        self, request_id: bytes, core: RequestCore, status: int, since: Seconds
+    ) -> None:
+        """Record that a back end's response is forwarded to the caller."""
+        duration = steady_clock() - since
+        self._count(core, "answered", duration)
         if xxhash.xxh32_intdigest(request_id) % self._sample == 0:
-            self._line("answered", request_id, core, took, status=status)
+            self._line("answered", request_id, core, duration, status=status)
 
-    def refused(self, request_id: bytes, core: RequestCore, why: Refuse, since: Seconds) -> None:
-        """A request is given up."""
-        took = steady_clock() - since
-        self._count(core, f"{why.outcome.value}:{why.reason.value}", took)
-        if self._failures.allows():
+    def record_refusal(
+        self, request_id: bytes, core: RequestCore, refusal: Refuse, since: Seconds
+    ) -> None:
+        """Record that a request is refused."""
+        duration = steady_clock() - since
+        self._count(core, f"{refusal.outcome.value}:{refusal.reason.value}", duration)
+        if self._failure_limit.allows():
             self._line(
                 "given_up",
                 request_id,
                 core,
-                took,
-                outcome=why.outcome.value,
-                reason=why.reason.value,
-                retry_after=round(why.retry_after, 3),
+                duration,
+                outcome=refusal.outcome.value,
+                reason=refusal.reason.value,
+                retry_after=round(refusal.retry_after, 3),
                 returned=core.claim.is_client_retry,
-                **_told(why.details),
+                **_detail_fields(refusal.details),
             )
 
-    def caller_left(self, request_id: bytes, core: RequestCore, since: Seconds) -> None:
-        """The caller closed its connection before the answer."""
+    def record_caller_left(self, request_id: bytes, core: RequestCore, since: Seconds) -> None:
+        """Record that the caller closed its connection before the response."""
         self._count(core, "caller-left", steady_clock() - since)
 
-    def attempt_lost(
+    def record_lost_attempt(
         self,
         request_id: bytes,
-        asked: request_content.RequestContent,
+        content: request_content.RequestContent,
         backend: Backend,
         phase: FailurePhase,
         problem: str,
     ) -> None:
-        """An attempt had no answer.
+        """Record an attempt that got no response.
 
-        If it may have run, the line tells by which content the same request is known again: its
-        next attempts have other ids.
+        If the request may have run, the line has its fingerprints, by which the same request is
+        recognised when the caller sends it again with another id.
         """
-        told: dict[str, object] = {}
+        fields: dict[str, object] = {}
         if phase not in SURELY_NOT_RUN:
-            told = {
-                "fingerprint": request_content.format_fingerprint(asked.fingerprints.caller),
-                "content": request_content.format_fingerprint(asked.fingerprints.content),
-                "target_sign": request_content.format_fingerprint(asked.fingerprints.target),
-                "caller": asked.caller,
-                "target": asked.target.decode("latin-1")[:LONGEST_TARGET],
+            fields = {
+                "fingerprint": request_content.format_fingerprint(content.fingerprints.caller),
+                "content": request_content.format_fingerprint(content.fingerprints.content),
+                "target_sign": request_content.format_fingerprint(content.fingerprints.target),
+                "caller": content.caller,
+                "target": content.target.decode("latin-1")[:MAX_TARGET_LENGTH],
             }
-        self.attempt_failed(request_id, backend, phase, problem, **told)
+        self.record_failed_attempt(request_id, backend, phase, problem, **fields)
 
-    def attempt_failed(
+    def record_failed_attempt(
         self,
         request_id: bytes,
         backend: Backend,
         phase: FailurePhase,
         problem: str,
-        **told: object,
+        **fields: object,
     ) -> None:
-        """An attempt had no answer that can be passed on."""
+        """Record an attempt that got no response that can be forwarded."""
         self._telemetry.attempts.labels(backend.service, phase.value).inc()
-        if self._failures.allows():
+        if self._failure_limit.allows():
             self._log.info(
                 "attempt_failed",
                 request=request_id.decode("latin-1"),
                 backend=backend.backend_id,
                 phase=phase.value,
                 problem=problem,
-                **told,
+                **fields,
             )
 
-    def unreadable_load(self, backend: Backend) -> None:
-        """A back end tells a load that cannot be read; it is taken for one that tells none."""
-        self._telemetry.strange_words.labels("load").inc()
-        if self._failures.allows():
+    def record_unreadable_load(self, backend: Backend) -> None:
+        """Record that a back end reported an unreadable load; treated as not reported."""
+        self._telemetry.unreadable_values.labels("load").inc()
+        if self._failure_limit.allows():
             self._log.info("load_not_read", backend=backend.backend_id)
 
-    def unreadable_limit(self, backend: Backend) -> None:
-        """A back end names a limit that cannot be read; what was believed stays."""
-        self._telemetry.strange_words.labels("limit").inc()
-        if self._failures.allows():
+    def record_unreadable_limit(self, backend: Backend) -> None:
+        """Record that a back end stated an unreadable limit; the known one is kept."""
+        self._telemetry.unreadable_values.labels("limit").inc()
+        if self._failure_limit.allows():
             self._log.info("limit_not_read", backend=backend.backend_id)
 
-    def unreadable_retry_after(self, backend: Backend) -> None:
-        """A back end requests a back-off that cannot be read; the known one stays in effect."""
-        self._telemetry.strange_words.labels("rest").inc()
-        if self._failures.allows():
+    def record_unreadable_retry_after(self, backend: Backend) -> None:
+        """Record that a back end requested an unreadable back-off; the known one is kept."""
+        self._telemetry.unreadable_values.labels("rest").inc()
+        if self._failure_limit.allows():
             self._log.info("rest_not_read", backend=backend.backend_id)
 
-    def unroutable(self, host: str, path: str, version: int, request_id: bytes | None) -> None:
-        """No route, or no id."""
-        if self._failures.allows():
+    def record_unroutable(
+        self, host: str, path: str, version: int, request_id: bytes | None
+    ) -> None:
+        """Record a request without a matching route or without an id."""
+        if self._failure_limit.allows():
             self._log.info(
                 "unroutable",
                 request=(request_id or b"").decode("latin-1"),
@@ -138,20 +144,20 @@
                 configuration=version,
             )
 
-    def broken(self, request_id: bytes, error: Exception) -> None:
-        """A fault of this program; the server answers 500 or drops the connection."""
+    def record_internal_error(self, request_id: bytes, error: Exception) -> None:
+        """Record an internal error; the server responds with status 500 or drops the connection."""
         self._log.error(
             "request_broken",
             request=request_id.decode("latin-1"),
             problem="".join(traceback.format_exception(error)),
         )
 
-    def _count(self, core: RequestCore, outcome: str, took: Seconds) -> None:
+    def _count(self, core: RequestCore, outcome: str, duration: Seconds) -> None:
         self._telemetry.requests.labels(core.service.name, outcome).inc()
-        self._telemetry.request_seconds.labels(core.service.name).observe(took)
+        self._telemetry.request_seconds.labels(core.service.name).observe(duration)
 
     def _line(
-        self, event: str, request_id: bytes, core: RequestCore, took: Seconds, **fields: object
+        self, event: str, request_id: bytes, core: RequestCore, duration: Seconds, **fields: object
     ) -> None:
         self._log.info(
             event,
@@ -161,21 +167,21 @@
             key=core.position,
             owners=core.service.owners.version,
             attempts=core.attempts,
-            took=round(took, 4),
+            took=round(duration, 4),
             **fields,
         )
 
 
-def _told(details: LoadEstimate | RateBound | Unavailable | None) -> dict[str, object]:
-    """What is logged of the belief that decided a refusal."""
+def _detail_fields(details: LoadEstimate | RateBound | Unavailable | None) -> dict[str, object]:
+    """Return the log fields for the details of a refusal."""
     match details:
         case None:
             return {}
         case RateBound(backend_id, rate):
             return {"backend": backend_id, "bound": rate}
         case Unavailable(backend_id, cause, remaining):
-            left = None if remaining is None else round(remaining, 3)
-            return {"backend": backend_id, "unavailable": cause.value, "left": left}
+            time_left = None if remaining is None else round(remaining, 3)
+            return {"backend": backend_id, "unavailable": cause.value, "left": time_left}
     return {
         "backend": details.backend_id,
         "expected": None if details.expected is None else round(details.expected, 4),
--- a/src/limedeck/node/response_reader.py
+++ b/src/limedeck/node/response_reader.py
@@ -1,6 +1,7 @@
-"""Classifies the answers of back ends and records the statements that they carry.
+"""Classifies the responses of back ends and records the statements that they carry.
 
-The statements of credible answers are recorded whether or not the request succeeded.
+Statements are recorded if the response comes from the back end, whether or not the request
+succeeded.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseResult:
-    """The result of one attempt, according to its answer.
+    """The result of one attempt, according to its response.
 
     Parameters
     ----------
     phase
-        How the attempt failed; None if the answer may be passed on to the caller.
+        How the attempt failed; None if the response may be forwarded to the caller.
     received_at
-        When the answer arrived.
+        When the response arrived.
     load
         The back end's load, if reported.
     wrong_owner
-        The back end does not own the key, or another back end answered.
+        The back end does not own the key, or another back end responded.
     """
 
     phase: FailurePhase | None
@@ -48,7 +49,7 @@
 
 
 class ResponseReader:
-    """Processes the answers to one node's attempts."""
+    """Processes the responses to one node's attempts."""
 
     def __init__(
         self, directory: BackendDirectory, protocol: CallerProtocol, log: RequestLog
@@ -58,80 +59,88 @@
         self._log = log
 
     def read(
-        self, request_id: bytes, attempt: Attempt, answer: HttpResponse, requested_at: Seconds
+        self, request_id: bytes, attempt: Attempt, response: HttpResponse, requested_at: Seconds
     ) -> ResponseResult:
-        """Classify an answer that arrived now, and record its statements."""
-        facts = self._protocol.response_metadata(answer.status, answer.headers)
+        """Classify a response that arrived now, and record its statements."""
+        metadata = self._protocol.response_metadata(response.status, response.headers)
         now = steady_clock()
         backend = attempt.state.backend
-        is_own = facts.request_id == request_id or (facts.request_id is None and facts.not_run)
-        if not is_own or not facts.is_from_backend:
+        is_own = metadata.request_id == request_id or (
+            metadata.request_id is None and metadata.not_run
+        )
+        if not is_own or not metadata.is_from_backend:
             attempt.state.record_failure(now)
-            problem = "answer to another request" if not is_own else "unsigned answer"
-            self._log.attempt_failed(request_id, backend, FailurePhase.AWAITING, problem)
+            problem = "response to another request" if not is_own else "unsigned response"
+            self._log.record_failed_attempt(request_id, backend, FailurePhase.AWAITING, problem)
             return ResponseResult(FailurePhase.AWAITING, now)
-        self._take_statements(attempt, facts, answer, requested_at, now)
-        if facts.not_run:
-            problem = f"status {answer.status}"
-            self._log.attempt_failed(request_id, backend, FailurePhase.REFUSED, problem)
-            return ResponseResult(FailurePhase.REFUSED, now, facts.load, facts.wrong_instance)
-        if answer.status >= SERVER_ERROR:
-            if answer.status != DEADLINE_PASSED:
+        self._record_statements(attempt, metadata, response, requested_at, now)
+        if metadata.not_run:
+            problem = f"status {response.status}"
+            self._log.record_failed_attempt(request_id, backend, FailurePhase.REFUSED, problem)
+            return ResponseResult(FailurePhase.REFUSED, now, metadata.load, metadata.wrong_instance)
+        if response.status >= SERVER_ERROR:
+            if response.status != DEADLINE_PASSED:
                 attempt.state.record_failure(now)
-            problem = f"status {answer.status}"
-            self._log.attempt_failed(request_id, backend, FailurePhase.ERROR_ANSWER, problem)
-            return ResponseResult(FailurePhase.ERROR_ANSWER, now, facts.load)
-        return ResponseResult(None, now, facts.load)
+            problem = f"status {response.status}"
+            self._log.record_failed_attempt(request_id, backend, FailurePhase.ERROR_ANSWER, problem)
+            return ResponseResult(FailurePhase.ERROR_ANSWER, now, metadata.load)
+        return ResponseResult(None, now, metadata.load)
 
-    def _take_statements(
+    def _record_statements(
         self,
         attempt: Attempt,
-        facts: ResponseMetadata,
-        answer: HttpResponse,
+        metadata: ResponseMetadata,
+        response: HttpResponse,
         requested_at: Seconds,
         now: Seconds,
     ) -> None:
-        if facts.load is not None:
-            attempt.state.record_load(facts.load, now)
-        elif facts.unreadable_load:
-            self._log.unreadable_load(attempt.state.backend)
-        if facts.wrong_instance:
+        if metadata.load is not None:
+            attempt.state.record_load(metadata.load, now)
+        elif metadata.unreadable_load:
+            self._log.record_unreadable_load(attempt.state.backend)
+        if metadata.wrong_instance:
             # The address may have been reassigned to another back end.
             return
-        is_served = not facts.not_run and answer.status < SERVER_ERROR
-        self._take_limit(attempt, facts, is_served, LimitStatement(facts.limit, requested_at, now))
-        self._take_leaving(attempt, facts, requested_at, now)
-        self._take_backoff(attempt, answer, now)
-        if is_served and answer.status not in retry_after.BACKOFF_STATUSES:
+        is_served = not metadata.not_run and response.status < SERVER_ERROR
+        self._record_limit(
+            attempt, metadata, is_served, LimitStatement(metadata.limit, requested_at, now)
+        )
+        self._record_leaving(attempt, metadata, requested_at, now)
+        self._record_backoff(attempt, response, now)
+        if is_served and response.status not in retry_after.BACKOFF_STATUSES:
             self._directory.backoffs.record_served(attempt.state.backend.backend_id, requested_at)
 
-    def _take_limit(
-        self, attempt: Attempt, facts: ResponseMetadata, is_served: bool, statement: LimitStatement
+    def _record_limit(
+        self,
+        attempt: Attempt,
+        metadata: ResponseMetadata,
+        is_served: bool,
+        statement: LimitStatement,
     ) -> None:
-        """Record the limit that an answer names, or that it names none.
+        """Record the limit that a response states, or that it states none.
 
-        Only the answer to a served request lifts a limit: a back end may reject a request, or fail,
-        before it adds the limit to the answer.
+        Only the response to a served request lifts a limit: a back end may reject a request, or
+        fail, before it adds the limit to the response.
         """
         backend = attempt.state.backend
-        if facts.unreadable_limit:
-            self._log.unreadable_limit(backend)
+        if metadata.unreadable_limit:
+            self._log.record_unreadable_limit(backend)
         elif statement.rate is not None or is_served:
             self._directory.limits.record(backend.backend_id, statement)
 
-    def _take_leaving(
-        self, attempt: Attempt, facts: ResponseMetadata, requested_at: Seconds, now: Seconds
+    def _record_leaving(
+        self, attempt: Attempt, metadata: ResponseMetadata, requested_at: Seconds, now: Seconds
     ) -> None:
-        if facts.leaving:
+        if metadata.leaving:
             statement = LeavingStatement(True, requested_at, now)
             self._directory.leaving.record(attempt.state.backend.backend_id, statement)
 
-    def _take_backoff(self, attempt: Attempt, answer: HttpResponse, now: Seconds) -> None:
+    def _record_backoff(self, attempt: Attempt, response: HttpResponse, now: Seconds) -> None:
         backend = attempt.state.backend
         try:
-            seconds = retry_after.requested_backoff(answer.status, answer.headers)
+            seconds = retry_after.requested_backoff(response.status, response.headers)
         except errors.UnreadableRetryAfter:
-            self._log.unreadable_retry_after(backend)
+            self._log.record_unreadable_retry_after(backend)
             return
         if seconds is not None:
             self._directory.backoffs.record(backend.backend_id, seconds, now)
--- a/src/limedeck/node/server.py
+++ b/src/limedeck/node/server.py
@@ -1,4 +1,4 @@
-"""Wires one node together, starts it and stops it as planned."""
+"""Assembles the parts of a node, runs them, and shuts the node down gracefully."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from limedeck.node.inspection import InspectionApplication, NodeInspector
 from limedeck.node.instrumented_store import InstrumentedStore
 from limedeck.node.leader_link import LeaderLink
-from limedeck.node.listener import close_to_newcomers, open_listener
+from limedeck.node.listener import open_listener, stop_accepting
 from limedeck.node.logs import BoundedWriter, get_logger
 from limedeck.node.quarantine_record import QuarantineRecordKeeper
 from limedeck.node.readiness import ReadinessApplication
@@ -59,20 +59,23 @@
 from limedeck.store.replica import Source
 from limedeck.store.rows import StoredRow
 
-UPKEEP_INTERVAL: Seconds = 0.5
-"""Between two looks at idle connections and at the settings file, which binds within a second."""
+MAINTENANCE_INTERVAL: Seconds = 0.5
+"""Idle connections and the settings file are checked this often; a change of the file must take
+effect within a second."""
 STORE_CALLS_INTERVAL: Seconds = 5.0
-"""Between two log lines of calls to the store; as often as figures are fetched in an incident."""
-CONFIGURATION_JOINING: Seconds = 0.15
-"""Changes so close together come in one call of the store; far below the 2 s in which they bind."""
-BACKENDS_JOINING: Seconds = 0.15
-"""The same for back ends."""
-LAST_ANSWERS: Seconds = 0.2
-"""Time for the last answers to be written once no request is under way."""
+"""Calls to the store are logged this often: the interval at which metrics are fetched in an
+incident."""
+CONFIGURATION_BATCH_TIME: Seconds = 0.15
+"""Changes this close together are fetched in one call to the store; far below the 2 s within which
+they must take effect."""
+BACKENDS_BATCH_TIME: Seconds = 0.15
+"""The same for changes of back ends."""
+SERVER_SHUTDOWN_TIMEOUT: Seconds = 0.2
+"""Time in which the last responses are written once no request is in flight."""
 
 
 class Node:
-    """One node: its control, its router and its servers."""
+    """A node: its control, its gateway and its servers."""
 
     def __init__(self, file: SettingsFile, writer: BoundedWriter) -> None:
         settings = file.in_force
@@ -80,7 +83,7 @@
         self._settings = settings
         self._writer = writer
         node = settings.node
-        self._state = NodeState(node.zone, node.id, _allowance(settings))
+        self._state = NodeState(node.zone, node.id, _retry_allowance(settings))
         self._telemetry = Telemetry()
         self._request_log = RequestLog(settings.log, self._telemetry)
         self._log = get_logger("node")
@@ -93,7 +96,7 @@
         self._protocol = PlatformProtocol()
 
     async def run(self) -> None:
-        """Run until a planned stop is over."""
+        """Run until a graceful shutdown has completed."""
         settings = self._settings
         self._log.info("started", node=settings.node.id, zone=settings.node.zone)
         platform_store = PlatformStore(settings.store.address, settings.store.timeout)
@@ -112,7 +115,7 @@
             settings.node.processor,
             settings.node.first_start,
         )
-        self._file.on_change = self._take_up
+        self._file.on_change = self._apply_settings
         watch = CrashWatch(self._state, backend_client, self._telemetry)
         gateway = CallerGateway(
             self._state,
@@ -127,18 +130,18 @@
             tasks.start_soon(watch.run)
             clients = (backend_client, order_client)
             tasks.start_soon(SuspensionWatch(clients, self._telemetry).run)
-            tasks.start_soon(self._upkeep, backend_client)
+            tasks.start_soon(self._run_maintenance, backend_client)
             tasks.start_soon(self._log_store_calls, store)
             await self._serve_until_stopped(gateway, control)
             tasks.cancel_scope.cancel()
         self._log.info("stopped", node=settings.node.id)
         self._writer.flush()
 
-    def _take_up(self, settings: NodeSettings) -> None:
-        """The settings file has changed."""
+    def _apply_settings(self, settings: NodeSettings) -> None:
+        """Apply the reloadable sections of a changed settings file."""
         self._settings = settings
-        self._state.set_allowance(_allowance(settings))
-        self._request_log.set_bounds(settings.log)
+        self._state.set_allowance(_retry_allowance(settings))
+        self._request_log.apply_settings(settings.log)
 
     def _start_control(
         self, tasks: TaskGroup, control: ControlHost, store: InstrumentedStore
@@ -147,13 +150,13 @@
             TableWatcher(store, self._configuration_follower()),
             TableWatcher(store, self._backends_follower()),
         )
-        news = TableExchange(watchers, self._settings.node.link)
+        exchange = TableExchange(watchers, self._settings.node.link)
         policy = FeedPolicy(steady_clock(), hash_fraction(self._identity.node_id.encode()))
         address = self._identity.peer_address
         zone = self._settings.node.zone
-        followers = FollowerConnections(address, zone, control, news, self._timing)
+        followers = FollowerConnections(address, zone, control, exchange, self._timing)
         tasks.start_soon(followers.serve)
-        link = LeaderLink(self._identity, zone, control, news, policy)
+        link = LeaderLink(self._identity, zone, control, exchange, policy)
         tasks.start_soon(link.run)
         self._start_quarantine(tasks, control, store, link)
         keeper = FeedKeeper(policy, watchers, lambda: control.leads)
@@ -189,27 +192,30 @@
         readiness = ReadinessApplication(self._state, self._telemetry, inspection)
         stop_requested = anyio.Event()
         async with self._signals_handled(stop_requested), anyio.create_task_group() as servers:
-            servers.start_soon(serve, readiness, readiness_listener, readiness_stop, LAST_ANSWERS)
-            servers.start_soon(serve, gateway, listener, callers_stop, LAST_ANSWERS)
+            servers.start_soon(
+                serve, readiness, readiness_listener, readiness_stop, SERVER_SHUTDOWN_TIMEOUT
+            )
+            servers.start_soon(serve, gateway, listener, callers_stop, SERVER_SHUTDOWN_TIMEOUT)
             await stop_requested.wait()
             self._log.info("stopping", node=node.id)
-            await self._wind_down(control, listener)
-            gateway.end_open()
+            await self._shut_down_gracefully(control, listener)
+            gateway.cancel_open_requests()
             callers_stop.set()
             readiness_stop.set()
 
-    async def _wind_down(self, control: ControlHost, listener: socket.socket) -> None:
-        """Serve on while the platform notices, then finish what is under way.
+    async def _shut_down_gracefully(self, control: ControlHost, listener: socket.socket) -> None:
+        """Keep serving until the platform sends no new connections, then finish open requests.
 
-        Connections are kept open to the end: one that is closed earlier may have a request on its
-        way, which would be read and then lost. Every answer asks the caller to close.
+        Connections stay open to the end: a request may already be on its way on a connection that
+        is closed earlier, and would be read and then lost. Every response asks the caller to close
+        the connection.
         """
         stop = self._settings.stop
         started = steady_clock()
         self._state.stopping = True
         control.resign()
         await anyio.sleep(stop.serving_time)
-        await close_to_newcomers(listener)
+        await stop_accepting(listener)
         self._state.closing = True
         end = started + stop.finishing_time
         while self._state.in_flight and steady_clock() < end:
@@ -217,7 +223,7 @@
 
     @contextlib.asynccontextmanager
     async def _signals_handled(self, stop_requested: anyio.Event) -> AsyncIterator[None]:
-        """Handle signals until all servers have stopped; a signal during a stop changes nothing."""
+        """Handle signals until all servers have stopped; repeated signals are ignored."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self._handle_signals, stop_requested)
             yield
@@ -235,26 +241,26 @@
                     stop_requested.set()
 
     async def _log_store_calls(self, store: InstrumentedStore) -> None:
-        """Log now and then what was asked of the store; nothing is logged while that is nothing."""
-        told: Counter[str] = Counter()
+        """Log the numbers of calls to the store at intervals; skip intervals without calls."""
+        logged: Counter[str] = Counter()
         while True:
             await anyio.sleep(STORE_CALLS_INTERVAL)
-            new = store.counts - told
+            new = store.counts - logged
             if new:
                 self._log.info("store_calls", seconds=STORE_CALLS_INTERVAL, calls=dict(new))
-            told = Counter(store.counts)
+            logged = Counter(store.counts)
 
-    async def _upkeep(self, client: HttpClient) -> None:
+    async def _run_maintenance(self, client: HttpClient) -> None:
         statement_log = StatementLog(self._state.directory, self._telemetry)
         while True:
-            await anyio.sleep(UPKEEP_INTERVAL)
+            await anyio.sleep(MAINTENANCE_INTERVAL)
             await client.drop_idle(self._state.directory.addresses())
-            self._tell_beliefs()
+            self._update_gauges()
             statement_log.log_events(steady_clock())
             self._writer.flush()
             self._file.reload_if_changed()
 
-    def _tell_beliefs(self) -> None:
+    def _update_gauges(self) -> None:
         now = steady_clock()
         directory = self._state.directory
         self._telemetry.evacuated.set(len(directory.availability.evacuated))
@@ -266,7 +272,7 @@
         def put(row: StoredRow, source: Source) -> None:
             zone = evacuated_zone(row.key)
             if row.key == CONFIGURATION_KEY:
-                self._adopt(read_configuration(row.value), source)
+                self._apply_configuration(read_configuration(row.value), source)
             elif zone is not None:
                 self._state.evacuate(zone, steady_clock())
                 self._log.warning("evacuation_began", zone=zone, source=source.value)
@@ -282,11 +288,11 @@
             put,
             remove,
             complete=lambda: None,
-            joining=CONFIGURATION_JOINING,
+            joining=CONFIGURATION_BATCH_TIME,
             feed_wait=self._settings.store.feed_wait,
         )
 
-    def _adopt(self, configuration: Configuration, source: Source) -> None:
+    def _apply_configuration(self, configuration: Configuration, source: Source) -> None:
         if not self._state.set_configuration(configuration):
             return
         self._telemetry.configuration.set(configuration.version)
@@ -299,16 +305,16 @@
             try:
                 backend = read_backend(row.key, row.value)
             except PlatformProtocolError:
-                # Whoever wrote it, the entry names no back end now. One that is alive writes its
-                # own again within a heartbeat.
+                # The entry names no back end, whoever wrote it. A back end that is alive rewrites
+                # its entry within one heartbeat.
                 state.directory.remove_instance(row.key)
-                self._telemetry.strange_words.labels("entry").inc()
+                self._telemetry.unreadable_values.labels("entry").inc()
                 raise
             now = steady_clock()
             state.directory.put(backend, now)
             state.notify()
-            put = state.directory.find(backend.backend_id)
-            if put is not None and put.is_cold(now):
+            added = state.directory.find(backend.backend_id)
+            if added is not None and added.is_cold(now):
                 self._log.info("back_end_cold", backend=backend.backend_id, seconds=backend.warmup)
 
         def remove(key: str) -> None:
@@ -323,11 +329,11 @@
             put,
             remove,
             complete,
-            joining=BACKENDS_JOINING,
+            joining=BACKENDS_BATCH_TIME,
             feed_wait=self._settings.store.feed_wait,
         )
 
 
-def _allowance(settings: NodeSettings) -> RetryAllowance:
+def _retry_allowance(settings: NodeSettings) -> RetryAllowance:
     retries = settings.retries
     return RetryAllowance(retries.ratio, retries.slack, retries.window)
--- a/src/limedeck/node/settings.py
+++ b/src/limedeck/node/settings.py
@@ -1,4 +1,4 @@
-"""A node's settings: a TOML file, checked whole before anything starts."""
+"""A node's settings: a TOML file that is validated completely before anything starts."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d+\.\d+\.\d+\.\d+:\d+$")]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class Section(msgspec.Struct, frozen=True):
-    """A table of the settings file; keys it does not know are passed over."""
+    """A table of the settings file; unknown keys are ignored."""
 
 
-BYTES_IN_A_MEGABIT = 125_000
+BYTES_PER_MEGABIT = 125_000
 
 
 class NodeSection(Section, frozen=True):
-    """Who this node is and where it listens.
+    """The node's identity, the addresses it listens on, and its resources.
 
     Parameters
     ----------
     cpu_share, cpus
-        It may use this share of a core that is as fast as so many.
+        The fraction of the processor that the node may use, and the speed of the processor as a
+        multiple of one core.
     link_mbps
-        Megabits a second that its link carries.
+        The bandwidth of the node's network link in megabits per second.
     first_start
-        The whole system starts for the first time.
+        Whether the whole system starts for the first time.
     """
 
     id: str
@@ -47,17 +48,17 @@
 
     @property
     def processor(self) -> float:
-        """Cores that this node may use."""
+        """Processor capacity that this node may use, in cores."""
         return self.cpu_share * self.cpus
 
     @property
     def link(self) -> float:
-        """Bytes a second that its link carries."""
-        return self.link_mbps * BYTES_IN_A_MEGABIT
+        """The bandwidth of the node's network link in bytes per second."""
+        return self.link_mbps * BYTES_PER_MEGABIT
 
 
 class StoreSection(Section, frozen=True):
-    """Where the store answers; the time-out is in seconds."""
+    """The store's address; times are in seconds."""
 
     address: Address
     timeout: Positive = 1.0
@@ -65,29 +66,29 @@
 
 
 class RetrySection(Section, frozen=True):
-    """What all nodes together may repeat."""
+    """The retry budget of all nodes together; the window is in seconds."""
 
-    ratio: NotNegative
-    slack: NotNegative
+    ratio: NonNegative
+    slack: NonNegative
     window: Positive
 
 
 class StopSection(Section, frozen=True):
-    """A planned stop, in seconds.
+    """A graceful shutdown; times are in seconds.
 
     Parameters
     ----------
     grace
-        After so long the process is killed.
+        The process is killed after this time.
     serving
-        Part of the grace during which requests are still passed on; those that come later are told
-        that they have not run. Half of the grace is left for the last of them to be answered.
+        Fraction of the grace during which requests are still forwarded; later requests are refused
+        as not run. Half of the grace remains for the response to the last forwarded request.
     longest_serving
-        They are passed on no longer than this, however long the grace: the platform sends no more
-        new connections after two failed readiness checks, one a second.
+        Upper bound of the time during which requests are forwarded, however long the grace: the
+        platform sends no new connections after two failed readiness checks, one per second.
     finishing
-        Part of the grace after which the process ends, whatever is still under way; the rest is
-        for writing the last answers and for a slow machine's exit.
+        Fraction of the grace after which the process exits even if requests are in flight; the rest
+        is for writing the last responses and for a slow exit on a loaded machine.
     """
 
     grace: Positive
@@ -97,30 +98,30 @@
 
     @property
     def serving_time(self) -> float:
-        """Seconds from the stop's begin during which requests are passed on."""
+        """Time from the start of the shutdown during which requests are forwarded, in seconds."""
         return min(self.grace * self.serving, self.longest_serving)
 
     @property
     def finishing_time(self) -> float:
-        """Seconds from the stop's begin until the process ends at the latest."""
+        """Time from the start of the shutdown until the process exits at the latest, in seconds."""
         return self.grace * self.finishing
 
 
 class OwnershipSection(Section, frozen=True):
-    """Bounds that back ends set for leases, in seconds."""
+    """Limits that back ends set for leases, in seconds."""
 
     longest_lease: Positive = 10.0
 
 
 class LogSection(Section, frozen=True):
-    """What is logged.
+    """What a node logs.
 
     Parameters
     ----------
     sample
-        One of so many good requests is logged, the same ones on all nodes.
+        One in this many successful requests is logged; all nodes select the same requests.
     failures_per_second
-        Failed and refused requests that are logged in full.
+        Log lines per second for failed and refused requests.
     """
 
     level: str = "info"
@@ -129,7 +130,7 @@
 
 
 class NodeSettings(Section, frozen=True):
-    """Everything a node is told before it starts."""
+    """All settings of a node."""
 
     node: NodeSection
     store: StoreSection
@@ -140,18 +141,18 @@
 
 
 def load_node_settings(file: str) -> NodeSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     InvalidSetting
-        The file cannot be used.
+        The file cannot be read or is invalid.
     """
     try:
-        with open(file, "rb") as source:
-            return msgspec.toml.decode(source.read(), type=NodeSettings)
+        with open(file, "rb") as stream:
+            return msgspec.toml.decode(stream.read(), type=NodeSettings)
     except OSError as error:
-        raise InvalidSetting(file, "(file)", str(error), "a file to read") from error
+        raise InvalidSetting(file, "(file)", str(error), "a readable file") from error
     except msgspec.DecodeError as error:
         problem, _, where = str(error).partition(" - at ")
         raise InvalidSetting(file, where.strip("`$.") or "(file)", problem, "see docs") from error
--- a/src/limedeck/node/statement_log.py
+++ b/src/limedeck/node/statement_log.py
@@ -13,8 +13,8 @@
 from limedeck.node.logs import RateLimit, get_logger
 from limedeck.node.telemetry import Telemetry
 
-LINES_PER_SECOND = 10
-"""For each type of event: a limit may change with every answer and would flood the log."""
+MAX_LINES_PER_SECOND = 10
+"""For each type of event: a limit may change with every response and would flood the log."""
 
 
 class StatementLog:
@@ -23,21 +23,21 @@
     def __init__(self, directory: BackendDirectory, telemetry: Telemetry) -> None:
         self._directory = directory
         self._telemetry = telemetry
-        self._limit_lines = RateLimit(LINES_PER_SECOND)
-        self._leaving_lines = RateLimit(LINES_PER_SECOND)
-        self._backoff_lines = RateLimit(LINES_PER_SECOND)
+        self._limit_lines = RateLimit(MAX_LINES_PER_SECOND)
+        self._leaving_lines = RateLimit(MAX_LINES_PER_SECOND)
+        self._backoff_lines = RateLimit(MAX_LINES_PER_SECOND)
         self._services: set[str] = set()
         self._log = get_logger("statements")
 
     def log_events(self, now: Seconds) -> None:
-        """Log changes since the last call, update the gauges, and drop old statements."""
-        self._tell_limits(now)
-        self._tell_leaving(now)
-        self._tell_backoffs(now)
+        """Log changes since the last call, update the gauges, and drop expired statements."""
+        self._log_limits(now)
+        self._log_leaving(now)
+        self._log_backoffs(now)
         self._update_gauges(now)
         self._directory.drop_expired_statements(now)
 
-    def _tell_limits(self, now: Seconds) -> None:
+    def _log_limits(self, now: Seconds) -> None:
         limits = self._directory.limits
         events, limits.events = limits.events, []
         for event in events:
@@ -52,7 +52,7 @@
                 age=round(now - event.statement.received_at, 3),
             )
 
-    def _tell_leaving(self, now: Seconds) -> None:
+    def _log_leaving(self, now: Seconds) -> None:
         leaving = self._directory.leaving
         events, leaving.events = leaving.events, []
         for event in events:
@@ -66,7 +66,7 @@
                 age=round(now - event.statement.received_at, 3),
             )
 
-    def _tell_backoffs(self, now: Seconds) -> None:
+    def _log_backoffs(self, now: Seconds) -> None:
         ledger = self._directory.backoffs
         events, ledger.events = ledger.events, []
         for event in events:
@@ -102,5 +102,5 @@
             gauge.labels(service).set(counts[service])
 
 
-def _source(told: bool) -> str:
-    return "node" if told else "answer"
+def _source(from_peer: bool) -> str:
+    return "node" if from_peer else "answer"
--- a/src/limedeck/node/suspension.py
+++ b/src/limedeck/node/suspension.py
@@ -1,4 +1,4 @@
-"""Notices that the machine was suspended, and ends what its timers would end too late."""
+"""Detects that the machine was suspended, and aborts the exchanges that expired meanwhile."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from limedeck.node.logs import get_logger
 from limedeck.node.telemetry import Telemetry
 
-TICK: Seconds = 0.05
-"""Between two looks. Callers wait so much longer at most for the answer that their time is over;
-without a look, as long as the machine was suspended."""
-SHORTEST: Seconds = 0.02
-"""The two clocks are read one after the other, and a turn of the processor may fall between."""
+CHECK_INTERVAL: Seconds = 0.05
+"""Time between two checks, and so the longest additional delay of a time-out after a suspension.
+Without the check, timers would fire late by the duration of the suspension."""
+MIN_SUSPENSION: Seconds = 0.02
+"""The two clocks are read one after the other, and the process may be descheduled in between."""
 
 
 class SuspensionWatch:
-    """Compares the clock that goes on with the one that timers follow.
+    """Compares the clock that runs during a suspension with the one that timers use.
 
     Parameters
     ----------
     clients
-        Whose exchanges are given up when their time is over.
+        Their expired exchanges are aborted.
     suspended
-        Seconds that the machine was suspended so far.
+        Returns how long the machine has been suspended so far.
     """
 
     def __init__(
@@ -39,24 +39,24 @@
         self._clients = clients
         self._telemetry = telemetry
         self._suspended = suspended
-        self._known = suspended()
+        self._last_suspended = suspended()
         self._log = get_logger("node")
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check at intervals until cancelled."""
         while True:
-            await anyio.sleep(TICK)
-            self.look()
+            await anyio.sleep(CHECK_INTERVAL)
+            self.check()
 
-    def look(self) -> None:
-        """Give up what is overdue if the machine was suspended since the last look."""
+    def check(self) -> None:
+        """Abort expired exchanges if the machine was suspended since the last check."""
         suspended = self._suspended()
-        span = suspended - self._known
-        if span < SHORTEST:
-            self._known = min(self._known, suspended)
+        duration = suspended - self._last_suspended
+        if duration < MIN_SUSPENSION:
+            self._last_suspended = min(self._last_suspended, suspended)
             return
-        self._known = suspended
-        self._telemetry.suspended_seconds.inc(span)
-        self._log.warning("suspended", seconds=round(span, 3))
+        self._last_suspended = suspended
+        self._telemetry.suspended_seconds.inc(duration)
+        self._log.warning("suspended", seconds=round(duration, 3))
         for client in self._clients:
             client.abort_expired(steady_clock())
--- a/src/limedeck/node/telemetry.py
+++ b/src/limedeck/node/telemetry.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one node, for its metrics address."""
+"""The metrics of one node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Telemetry:
-    """What a node counts; no label grows with keys or requests."""
+    """The metrics of one node; the number of label values does not grow with keys or requests."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
@@ -50,7 +50,7 @@
             "Time that the machine was suspended while this node ran",
             registry=registry,
         )
-        self.strange_words = Counter(
+        self.unreadable_values = Counter(
             "limedeck_strange_words",
             "What others wrote that cannot be read, by what it should be",
             ["kind"],
@@ -101,5 +101,5 @@
         )
 
     def exposition(self) -> bytes:
-        """All figures as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/tests/unit/test_crash_updates.py
+++ b/tests/unit/test_crash_updates.py
@@ -1,4 +1,4 @@
-"""How news of crashes travels: in messages, to nodes without a leader, and through the store."""
+"""Crash updates in messages, between nodes without a leader, and in the store."""
 
 from __future__ import annotations
 
@@ -46,27 +46,27 @@
 
 
 def fingerprints(number: int) -> request_content.RequestFingerprints:
-    """A request that is known by one number, however widely it is looked at."""
+    """Return fingerprints of a request that all have the same number."""
     return request_content.RequestFingerprints(number, number, number)
 
 
-def convicting(ledger: quarantine.QuarantineLedger, start: Seconds) -> None:
-    """Let a node see three back ends end under one request."""
+def record_crashes(ledger: quarantine.QuarantineLedger, start: Seconds) -> None:
+    """Record three back ends that exit while processing the same request."""
     for number in range(3):
         ledger.record_lost_request(f"b{number}", fingerprints(BAD), start)
         ledger.record_process_exit(f"b{number}", start)
 
 
-def test_news_survive_the_message_on_the_other_nodes_clock() -> None:
-    told: list[quarantine_updates.QuarantineUpdate] = [
+def test_updates_are_decoded_on_the_other_nodes_clock() -> None:
+    updates: list[quarantine_updates.QuarantineUpdate] = [
         quarantine_updates.CrashUpdate("b1", 95.0, frozenset({fingerprints(BAD), fingerprints(2)})),
         quarantine_updates.Quarantine(BAD, 2, 90.0, 400.0),
         quarantine_updates.Quarantine(7, 0, 10.0, 70.0),
         quarantine_updates.ServedUpdate(3, 99.0),
     ]
-    message = crash_updates.encoded(told, 100.0)
+    message = crash_updates.encode_updates(updates, 100.0)
     received = control_pb2.CrashNews.FromString(message.SerializeToString())
-    assert crash_updates.decoded(received, 1100.0) == [
+    assert crash_updates.decode_updates(received, 1100.0) == [
         quarantine_updates.CrashUpdate(
             "b1", 1095.0, frozenset({fingerprints(BAD), fingerprints(2)})
         ),
@@ -76,31 +76,33 @@
     ]
 
 
-def test_a_full_message_is_bounded() -> None:
-    """A crash of a back end with a full queue, in each of the items."""
+def test_size_of_a_full_message_is_bounded() -> None:
+    """Each item is a crash of a back end with a full queue."""
     ledger = quarantine.QuarantineLedger("n")
     for number in range(200):
         for request in range(quarantine.MAX_LOST_REQUESTS):
-            sign = (number << 32) + request
-            asked = request_content.RequestFingerprints(sign, sign + (1 << 24), sign + (2 << 24))
-            ledger.record_lost_request(f"i-{number:010x}", asked, 1.0)
+            fingerprint = (number << 32) + request
+            request_fingerprints = request_content.RequestFingerprints(
+                fingerprint, fingerprint + (1 << 24), fingerprint + (2 << 24)
+            )
+            ledger.record_lost_request(f"i-{number:010x}", request_fingerprints, 1.0)
         ledger.record_process_exit(f"i-{number:010x}", 1.0)
     peer = crash_updates.CrashUpdatePeer(ledger)
     sizes = []
-    while (message := peer.news(2.0)) is not None:
+    while (message := peer.next_update(2.0)) is not None:
         sizes.append(message.ByteSize())
-    crashes_told = quarantine.MOST_TOLD // (1 + quarantine.SIGNS * crashes.MOST_SUSPECTS)
-    assert len(sizes) == -(-200 // crashes_told)
+    crashes_per_message = quarantine.MOST_TOLD // (1 + quarantine.SIGNS * crashes.MOST_SUSPECTS)
+    assert len(sizes) == -(-200 // crashes_per_message)
     assert max(sizes) < 16_000
 
 
-def test_a_node_that_starts_is_told_thousands_of_quarantines_in_a_few_messages() -> None:
+def test_starting_node_receives_thousands_of_quarantines_in_a_few_messages() -> None:
     ledger = quarantine.QuarantineLedger("n")
     kept = [quarantine_updates.Quarantine(number << 40, 0, 1.0, 900.0) for number in range(3_000)]
     ledger.apply(kept, "store", 2.0)
     peer = crash_updates.CrashUpdatePeer(ledger)
     sizes = []
-    while (message := peer.news(2.0)) is not None:
+    while (message := peer.next_update(2.0)) is not None:
         sizes.append(message.ByteSize())
     assert len(sizes) <= 4
     assert max(sizes) < 16_000
@@ -109,10 +111,10 @@
 # ---------------------------------------------------------------------- without a leader
 
 
-async def test_without_leader_and_store_nodes_tell_each_other() -> None:
-    """The leader is lost while the store is away: nobody can be elected for as long as that lasts.
+async def test_nodes_exchange_crashes_without_leader_and_store() -> None:
+    """The leader fails while the store is unreachable, so that no leader can be elected.
 
-    Three nodes that know each other only in a row, real connections between them.
+    The first node knows only the second, which knows the third; the connections are real.
     """
     addresses = [f"127.0.0.1:{port}" for port in processes.free_ports(3)]
     states = [node_state.NodeState("z1", f"n{number}", ALLOWANCE) for number in range(3)]
@@ -129,7 +131,7 @@
             tasks.start_soon(listener.serve)
             gossip = crash_gossip.CrashGossip(state, lambda: False, "127.0.0.1")
             tasks.start_soon(gossip.run)
-        convicting(states[0].quarantine, now)
+        record_crashes(states[0].quarantine, now)
         await polling.until(lambda: states[2].quarantine.suspects_any)
         tasks.cancel_scope.cancel()
     later = now + quarantine.GATHERING + 1.0
@@ -138,15 +140,15 @@
         assert state.quarantine.refused_for(BAD, later) is not None
 
 
-async def test_news_between_nodes_make_nobody_a_follower() -> None:
+async def test_crash_updates_do_not_make_the_sender_a_follower() -> None:
     (port,) = processes.free_ports(1)
     host, state = test_telling.leader()
     connections = followers.FollowerConnections(
         f"127.0.0.1:{port}", "z1", host, table_exchange.TableExchange(()), test_telling.TIMING
     )
-    told = quarantine.QuarantineLedger("other")
-    convicting(told, 0.0)
-    message = crash_updates.CrashUpdatePeer(told).news(0.0)
+    ledger = quarantine.QuarantineLedger("other")
+    record_crashes(ledger, 0.0)
+    message = crash_updates.CrashUpdatePeer(ledger).next_update(0.0)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(connections.serve)
         await polling.until(lambda: not processes.is_free("127.0.0.1", port))
@@ -162,20 +164,20 @@
 
 
 class RecordStore(RowStore):
-    """One row, written under the condition that a node leads."""
+    """A store of one row, which is written on condition that the node leads."""
 
     def __init__(self) -> None:
         self.value: bytes | None = None
         self.leader_version = 4
-        self.away = False
+        self.unreachable = False
         self.now: Seconds = 5_000.0
         self.writes = 0
         self.reads = 0
 
     async def read(self, table: str, part: str = "") -> TableRead:
         self.reads += 1
-        if self.away:
-            raise StoreUnavailable("away")
+        if self.unreachable:
+            raise StoreUnavailable("unreachable")
         row = quarantine_record.QUARANTINE_ROW
         rows = [] if self.value is None else [StoredRow(table, part, row.key, self.value, 7)]
         return TableRead(tuple(rows), 7, self.now)
@@ -183,8 +185,8 @@
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> WriteResult:
-        if self.away:
-            raise StoreUnavailable("away")
+        if self.unreachable:
+            raise StoreUnavailable("unreachable")
         if conditions[0].version != self.leader_version:
             raise ConditionFailed(())
         self.value = writes[0].value
@@ -199,12 +201,12 @@
 
 
 class Control:
-    """What the keeper asks of a node's control.
+    """The part of a node's control that the keeper uses.
 
     Parameters
     ----------
     version
-        Of the row by which this node leads.
+        Version of the leader row that this node wrote.
     """
 
     def __init__(self, leads: bool, version: int = 4) -> None:
@@ -216,7 +218,7 @@
         return RowCondition(quarantine_record.QUARANTINE_ROW, self._version)
 
 
-def keeper_of(
+def make_keeper(
     ledger: quarantine.QuarantineLedger,
     store: RecordStore,
     leads: bool,
@@ -233,67 +235,67 @@
     )
 
 
-def quarantined() -> quarantine.QuarantineLedger:
+def make_quarantined_ledger() -> quarantine.QuarantineLedger:
     ledger = quarantine.QuarantineLedger("n")
     now = clock.steady_clock()
-    convicting(ledger, now - 1.0)
+    record_crashes(ledger, now - 1.0)
     ledger.handle_tick(now)
     assert ledger.refused_for(BAD, now) is not None
     return ledger
 
 
-async def test_quarantines_outlast_an_end_of_all_nodes() -> None:
+async def test_quarantines_survive_a_restart_of_all_nodes() -> None:
     store = RecordStore()
-    leader = keeper_of(quarantined(), store, leads=True)
-    await leader._look()
-    await leader._look()
+    leader = make_keeper(make_quarantined_ledger(), store, leads=True)
+    await leader._update()
+    await leader._update()
     started = quarantine.QuarantineLedger("started")
-    await keeper_of(started, store, leads=False)._look()
+    await make_keeper(started, store, leads=False)._update()
     now = clock.steady_clock()
-    left = started.refused_for(BAD, now)
-    assert left is not None
-    assert left > quarantine.BASE_QUARANTINE_TIME - 5.0
+    remaining = started.refused_for(BAD, now)
+    assert remaining is not None
+    assert remaining > quarantine.BASE_QUARANTINE_TIME - 5.0
 
 
-async def test_a_node_that_is_told_by_a_leader_does_not_ask_the_store() -> None:
+async def test_node_that_follows_a_leader_does_not_read_the_store() -> None:
     store = RecordStore()
-    follower = keeper_of(quarantine.QuarantineLedger("n"), store, leads=False, hears_leader=True)
+    follower = make_keeper(quarantine.QuarantineLedger("n"), store, leads=False, hears_leader=True)
     for _ in range(5):
-        await follower._look()
+        await follower._update()
     assert store.reads == 0
 
 
-async def test_the_record_is_written_when_it_changes_and_by_the_leader_alone() -> None:
+async def test_record_is_written_only_on_changes_and_only_by_the_leader() -> None:
     store = RecordStore()
-    leader = keeper_of(quarantined(), store, leads=True)
+    leader = make_keeper(make_quarantined_ledger(), store, leads=True)
     for _ in range(5):
-        await leader._look()
+        await leader._update()
     assert store.writes == 1
     for follower in (
-        keeper_of(quarantined(), store, leads=False),
-        keeper_of(quarantined(), store, leads=True, version=3),
+        make_keeper(make_quarantined_ledger(), store, leads=False),
+        make_keeper(make_quarantined_ledger(), store, leads=True, version=3),
     ):
         store.value = None
-        await follower._look()
-        await follower._look()
+        await follower._update()
+        await follower._update()
         assert store.writes == 1
 
 
-async def test_a_node_that_cannot_read_the_record_writes_nothing_over_it() -> None:
+async def test_node_that_cannot_read_the_record_does_not_overwrite_it() -> None:
     store = RecordStore()
-    await_read = keeper_of(quarantined(), store, leads=True)
-    store.away = True
+    reader = make_keeper(make_quarantined_ledger(), store, leads=True)
+    store.unreachable = True
     for _ in range(3):
         with pytest.raises(StoreUnavailable):
-            await await_read._look()
+            await reader._update()
     assert store.writes == 0
-    store.away = False
-    await await_read._look()
-    await await_read._look()
+    store.unreachable = False
+    await reader._update()
+    await reader._update()
     assert store.writes == 1
 
 
-def test_a_closed_port_takes_a_back_end_out_of_the_choice_at_once() -> None:
+def test_closed_port_ejects_a_back_end_immediately() -> None:
     state = node_state.NodeState("z1", "n", ALLOWANCE)
     state.directory.put(Backend("b", "s", "127.0.0.1:1", "z1", 2), 0.0)
     found = state.directory.find("b")
--- a/tests/unit/test_crash_watch.py
+++ b/tests/unit/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A back end that ended is told from one that dropped a connection, by its port."""
+"""A probe of the port distinguishes an exited back end from one that dropped a connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.unit import polling
 
 pytestmark = pytest.mark.anyio
-ASKED = request_content.RequestContent(b"GET", "h", b"/x", "127.0.0.1", b"")
+CONTENT = request_content.RequestContent(b"GET", "h", b"/x", "127.0.0.1", b"")
 
 
 @pytest.fixture
@@ -21,7 +21,7 @@
     return "asyncio"
 
 
-def watch_of(node: state.NodeState) -> crash_watch.CrashWatch:
+def make_watch(node: state.NodeState) -> crash_watch.CrashWatch:
     return crash_watch.CrashWatch(node, http_client.HttpClient(), telemetry.Telemetry())
 
 
@@ -31,43 +31,43 @@
     return node
 
 
-async def test_a_closed_port_shows_that_the_process_has_ended() -> None:
+async def test_closed_port_shows_that_the_process_has_exited() -> None:
     backend = Backend("b", "s", f"127.0.0.1:{processes.free_ports(1)[0]}", "z1", 2)
     node = node_with(backend)
-    watch = watch_of(node)
+    watch = make_watch(node)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watch.run)
         await anyio.wait_all_tasks_blocked()
-        watch.record_lost_request(backend, ASKED)
+        watch.record_lost_request(backend, CONTENT)
         await polling.until(lambda: node.quarantine.suspects_any)
         tasks.cancel_scope.cancel()
 
 
-async def test_a_back_end_that_still_listens_has_not_ended() -> None:
-    """Full back ends reset connections: an end that is seen later is not the request's fault."""
+async def test_back_end_that_still_listens_has_not_exited() -> None:
+    """Overloaded back ends reset connections: a later exit is not attributed to the request."""
     (port,) = processes.free_ports(1)
     backend = Backend("b", "s", f"127.0.0.1:{port}", "z1", 2)
     node = node_with(backend)
-    watch = watch_of(node)
+    watch = make_watch(node)
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-    taken = 0
+    accepted = 0
 
-    async def take(stream: anyio.abc.SocketStream) -> None:
-        nonlocal taken
-        taken += 1
+    async def accept(stream: anyio.abc.SocketStream) -> None:
+        nonlocal accepted
+        accepted += 1
         await stream.aclose()
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(listener.serve, take)
+        tasks.start_soon(listener.serve, accept)
         tasks.start_soon(watch.run)
         await anyio.wait_all_tasks_blocked()
         for _ in range(50):
-            watch.record_lost_request(backend, ASKED)
-        await polling.until(lambda: taken >= len(crash_watch.LOOKS))
+            watch.record_lost_request(backend, CONTENT)
+        await polling.until(lambda: accepted >= len(crash_watch.PROBE_DELAYS))
         await anyio.sleep(0.1)
         tasks.cancel_scope.cancel()
     await listener.aclose()
-    # So many lost connections brought no more looks than one.
-    assert taken == len(crash_watch.LOOKS)
-    watch.note_refused(backend)
+    # Fifty lost connections cause no more probes than one.
+    assert accepted == len(crash_watch.PROBE_DELAYS)
+    watch.record_refused_connection(backend)
     assert not node.quarantine.suspects_any
--- a/tests/unit/test_http_server.py
+++ b/tests/unit/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server that callers connect to, by bytes on real connections."""
+"""The HTTP server for callers, tested with raw bytes on real connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def echo(scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
-    """Answer with the path and how long the body is; wait for the caller to leave at /wait."""
+    """Respond with the path and the length of the body; /wait waits for a disconnect."""
     body = b""
     more = True
     while more:
@@ -31,7 +31,7 @@
         more = message.get("more_body", False)
     if scope["path"] == "/wait":
         assert (await receive())["type"] == "http.disconnect"
-        left.set()
+        caller_left.set()
         return
     if scope["path"] == "/close":
         headers = [(b"content-length", b"0"), (b"connection", b"close")]
@@ -44,7 +44,7 @@
     await send({"type": "http.response.body", "body": text})
 
 
-left = anyio.Event()
+caller_left = anyio.Event()
 
 
 @asynccontextmanager
@@ -58,38 +58,38 @@
         stop.set()
 
 
-async def answer(stream: SocketStream, end: bytes) -> bytes:
-    """Read until an answer ends with these bytes, or the connection does."""
-    found = b""
+async def read_until(stream: SocketStream, end: bytes) -> bytes:
+    """Read until the received data ends with these bytes or the connection is closed."""
+    received = b""
     with anyio.fail_after(10.0):
-        while not found.endswith(end):
+        while not received.endswith(end):
             try:
-                found += await stream.receive()
+                received += await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 break
-    return found
+    return received
 
 
-async def test_requests_on_one_connection_are_answered_in_order() -> None:
-    """Two that come at once, and one whose long body comes in the same bytes as its head."""
+async def test_requests_on_one_connection_get_responses_in_order() -> None:
+    """Two pipelined requests, and one whose long body is sent together with its head."""
     async with serving() as (host, port, _), await anyio.connect_tcp(host, port) as stream:
         one = HEAD + b"Content-Length: 3\r\n\r\nabc"
         other = HEAD.replace(b"/a", b"/c") + b"Content-Length: 0\r\n\r\n"
         await stream.send(one + other)
-        found = await answer(stream, b"/c b=1 0")
-        assert found.index(b"/a b=1 3") < found.index(b"/c b=1 0")
+        received = await read_until(stream, b"/c b=1 0")
+        assert received.index(b"/a b=1 3") < received.index(b"/c b=1 0")
         body = b"x" * (2 * http_server.MAX_HEAD_SIZE)
         await stream.send(HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body)
-        assert (await answer(stream, b"/a b=1 %d" % len(body))).startswith(b"HTTP/1.1 200 ")
+        assert (await read_until(stream, b"/a b=1 %d" % len(body))).startswith(b"HTTP/1.1 200 ")
         chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
         await stream.send(chunked)
-        assert (await answer(stream, b"/a b=1 3")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_until(stream, b"/a b=1 3")).startswith(b"HTTP/1.1 200 ")
 
 
 @pytest.mark.parametrize(
     "endless", [b"GET /" + b"a" * 999, HEAD + b"X: " + b"a" * 999, HEAD + b"X: 1\r\n" * 99]
 )
-async def test_a_head_that_does_not_end_is_refused(endless: bytes) -> None:
+async def test_request_with_an_endless_head_is_refused(endless: bytes) -> None:
     async with serving() as (host, port, _), await anyio.connect_tcp(host, port) as stream:
         sent = 0
         with pytest.raises((anyio.BrokenResourceError, anyio.EndOfStream)):
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "smuggled",
+    "ambiguous",
     [
         HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
         HEAD + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
@@ -112,28 +112,28 @@
         b"no such protocol\r\n\r\n",
     ],
 )
-async def test_what_may_be_read_in_two_ways_is_refused(smuggled: bytes) -> None:
+async def test_ambiguous_request_is_refused(ambiguous: bytes) -> None:
     async with serving() as (host, port, _), await anyio.connect_tcp(host, port) as stream:
-        await stream.send(smuggled)
-        assert (await answer(stream, b"never")).startswith(b"HTTP/1.1 400 ")
+        await stream.send(ambiguous)
+        assert (await read_until(stream, b"never")).startswith(b"HTTP/1.1 400 ")
 
 
-async def test_an_application_that_closes_and_a_caller_that_leaves() -> None:
+async def test_connection_close_by_application_and_by_caller() -> None:
     async with serving() as (host, port, _):
         async with await anyio.connect_tcp(host, port) as stream:
             await stream.send(b"GET /close HTTP/1.1\r\nHost: h\r\n\r\n")
-            found = await answer(stream, b"never")
-            assert b"503" in found and found.count(b"onnection: close") == 1
+            received = await read_until(stream, b"never")
+            assert b"503" in received and received.count(b"onnection: close") == 1
         async with await anyio.connect_tcp(host, port) as stream:
             await stream.send(b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
             await anyio.sleep(0.05)
         with anyio.fail_after(10.0):
-            await left.wait()
+            await caller_left.wait()
 
 
-async def test_a_stop_ends_resting_connections() -> None:
+async def test_shutdown_closes_idle_connections() -> None:
     async with serving() as (host, port, stop), await anyio.connect_tcp(host, port) as stream:
         await stream.send(HEAD + b"Content-Length: 0\r\n\r\n")
-        await answer(stream, b"/a b=1 0")
+        await read_until(stream, b"/a b=1 0")
         stop.set()
-        assert await answer(stream, b"never") == b""
+        assert await read_until(stream, b"never") == b""
--- a/tests/unit/test_inspection.py
+++ b/tests/unit/test_inspection.py
@@ -1,4 +1,4 @@
-"""What a node shows operators: its leader and why, owners of keys, back ends in need."""
+"""The views of a node for operators: the leader, the owners of keys, the back ends."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
     return NodeInspector("node-a", "z1", state or node_state(), election)
 
 
-def test_a_node_that_knows_no_leader_says_so() -> None:
+def test_status_without_a_leader() -> None:
     status = inspector().status(1.0)
     assert (status.leader, status.leads, status.ready) == (None, False, False)
     assert status.configuration == 7
 
 
-def test_a_follower_tells_who_leads_since_when_why_and_what_it_holds_against_it() -> None:
+def test_follower_shows_the_leader_its_reason_and_the_suspicion() -> None:
     core = ElectionCore(ME, OwnershipTiming(), 0.0)
     core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), 10.0)
     core.handle_heartbeat(4, 0.1, 12.0)
@@ -64,7 +64,7 @@
     assert later is not None and later.suspicion == "silent"
 
 
-def test_a_leader_tells_why_it_stood() -> None:
+def test_leader_shows_why_it_was_elected() -> None:
     core = ElectionCore(ME, OwnershipTiming(), 0.0)
     core.handle_leader_read(LeaderReadResult(OTHER, 40, 0.1), 10.0)
     core.handle_denial(4, 99, False)
@@ -82,7 +82,7 @@
     assert status.leader.known_for == pytest.approx(3.0, abs=0.01)
 
 
-def test_back_ends_are_shown_with_why_they_get_less() -> None:
+def test_back_ends_are_shown_with_conditions_and_rate_bounds() -> None:
     state = node_state()
     state.directory.availability.evacuate("z1", 0.0)
     state.directory.limits.record("b", LimitStatement(3.2, 0.5, 1.0))
@@ -101,7 +101,7 @@
     assert shown["b"].conditions == ["leaving", "backing-off"]
 
 
-def test_services_are_shown_with_how_many_ranges_have_no_owner() -> None:
+def test_services_are_shown_with_the_number_of_unowned_ranges() -> None:
     shown = {item.service: item for item in inspector().status(1.0).services}
     assert (shown["s"].version, shown["s"].ranges, shown["s"].ranges_without_owner) == (3, 3, 1)
     assert not shown["p"].keyed
@@ -110,18 +110,18 @@
 @pytest.mark.parametrize(
     ("position", "owner", "listed"), [(0, "b", True), (60, "", False), (99, "gone", False)]
 )
-def test_a_key_is_located(position: int, owner: str, listed: bool) -> None:
+def test_locate_returns_the_owner_of_a_key(position: int, owner: str, listed: bool) -> None:
     found = inspector().locate("s", position, 1.0)
     assert (found.range.owner, found.owner is not None) == (owner, listed)
 
 
 @pytest.mark.parametrize(("service", "position"), [("s", 100), ("p", 1), ("none", 1)])
-def test_what_is_not_there_is_not_shown(service: str, position: int) -> None:
+def test_locate_raises_for_unknown_keys_and_services(service: str, position: int) -> None:
     with pytest.raises(NotShown):
         inspector().locate(service, position, 1.0)
 
 
-def ask(path: str) -> tuple[int, bytes]:
+def get(path: str) -> tuple[int, bytes]:
     sent: list[dict[str, Any]] = []
 
     async def run() -> None:
@@ -138,11 +138,11 @@
     return sent[0]["status"], sent[1]["body"]
 
 
-def test_views_are_told_as_json() -> None:
-    status, body = ask(STATUS_PATH)
+def test_views_are_served_as_json() -> None:
+    status, body = get(STATUS_PATH)
     assert status == 200
     assert msgspec.json.decode(body, type=StatusView).node == "node-a"
-    status, body = ask(f"{LOCATE_PATH}s/12")
+    status, body = get(f"{LOCATE_PATH}s/12")
     assert msgspec.json.decode(body, type=LocationView).range.owner == "b"
 
 
@@ -159,7 +159,7 @@
         f"{LOCATE_PATH}s/²",
     ],
 )
-def test_a_question_that_makes_no_sense_is_answered_with_the_problem(path: str) -> None:
-    status, body = ask(path)
+def test_invalid_path_gets_status_404_with_the_problem(path: str) -> None:
+    status, body = get(path)
     assert status == 404
     assert b"problem" in body
--- a/tests/unit/test_isolation.py
+++ b/tests/unit/test_isolation.py
@@ -1,4 +1,4 @@
-"""A node that hears no sound leader sends callers elsewhere."""
+"""A node without contact to a confirmed leader is not ready, so callers use other nodes."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     return node
 
 
-def test_a_node_that_never_heard_a_leader_is_ready_once_it_knows_enough() -> None:
+def test_node_that_never_had_a_leader_is_ready_with_complete_state() -> None:
     assert ready_state().is_ready(100.0)
 
 
-def test_a_node_that_lost_its_leader_is_not_ready_until_it_hears_one() -> None:
-    """Found on klvs-gateway scale-2: nodes that were cut off asked former owners for 12 s."""
+def test_node_without_leader_contact_is_not_ready_until_it_is_restored() -> None:
+    """On klvs-gateway scale-2 nodes that were cut off sent requests to former owners for 12 s."""
     node = ready_state()
     node.note_leader(0.3, 3, 10.0)
-    assert node.is_ready(10.0 + state.ISOLATION - 0.1)
-    assert not node.is_ready(10.0 + state.ISOLATION + 0.1)
+    assert node.is_ready(10.0 + state.ISOLATION_TIMEOUT - 0.1)
+    assert not node.is_ready(10.0 + state.ISOLATION_TIMEOUT + 0.1)
     node.note_leader(0.3, 3, 20.0)
     assert node.is_ready(20.1)
 
 
 @pytest.mark.parametrize("silence", [state.LEADER_STORE_SILENCE + 0.1, 30.0])
-def test_a_leader_that_the_store_does_not_confirm_is_no_sound_one(silence: float) -> None:
+def test_leader_that_the_store_does_not_confirm_does_not_make_a_node_ready(silence: float) -> None:
     node = ready_state()
     node.note_leader(0.3, 3, 10.0)
     for step in range(10):
@@ -40,19 +40,19 @@
     assert not node.is_ready(19.0)
 
 
-def test_the_count_of_a_leader_that_may_have_been_replaced_is_not_believed() -> None:
-    """Half of the nodes would share the whole of what all may do, and so would the others."""
+def test_node_count_of_a_leader_that_may_have_been_replaced_is_not_used() -> None:
+    """Otherwise each half of the nodes shares the whole amount that all nodes may use."""
     node = ready_state()
     for second in range(14):
         node.note_leader(0.3, 6, float(second))
-    assert node.retry_sharers(13.0) == 6
+    assert node.retry_sharing_nodes(13.0) == 6
     for second in range(14, 40):
         node.note_leader(state.LEADER_STORE_SILENCE + 0.1, 3, float(second))
-        assert node.retry_sharers(float(second)) in (0, 6)
-    assert node.retry_sharers(39.0) == 0
+        assert node.retry_sharing_nodes(float(second)) in (0, 6)
+    assert node.retry_sharing_nodes(39.0) == 0
 
 
-def node_with_ended_back_end(at: float) -> state.NodeState:
+def node_with_exited_back_end(at: float) -> state.NodeState:
     node = ready_state()
     node.directory.set_cold_rates({"s": 4.2})
     node.directory.put(Backend("a", "s", "127.0.0.1:1", "z1", 2), 0.0)
@@ -68,30 +68,32 @@
     return found.is_cold(now)
 
 
-def heard_each_second(node: state.NodeState, since: int, until: int, store_away_at: int) -> None:
-    """A leader is heard which the store has not confirmed since a moment."""
+def record_leader_each_second(
+    node: state.NodeState, since: int, until: int, store_away_at: int
+) -> None:
+    """Record a leader each second that the store has not confirmed since `store_away_at`."""
     for second in range(since, until):
         node.note_leader(max(second - store_away_at, 0.3), 3, float(second))
 
 
-def test_what_has_ended_while_the_store_is_away_is_taken_for_cold_until_it_is_heard_of() -> None:
-    """Found by the soak: 47 requests in a second at one that nobody could hear is cold."""
-    node = node_with_ended_back_end(10.0)
-    heard_each_second(node, 9, 18, store_away_at=8)
+def test_back_end_that_exited_during_a_store_outage_counts_as_cold_until_it_is_over() -> None:
+    """The soak saw 47 requests in a second at a cold back end whose entry could not arrive."""
+    node = node_with_exited_back_end(10.0)
+    record_leader_each_second(node, 9, 18, store_away_at=8)
     assert is_cold(node, 18.0)
-    heard_each_second(node, 18, 24, store_away_at=30)
+    record_leader_each_second(node, 18, 24, store_away_at=30)
     assert not is_cold(node, 18.0 + ENDED_REST)
 
 
-def test_what_has_ended_while_the_store_is_away_for_long_is_used_again_at_last() -> None:
-    node = node_with_ended_back_end(10.0)
-    heard_each_second(node, 9, 100, store_away_at=8)
+def test_exit_cooldown_is_not_extended_without_limit_during_a_long_store_outage() -> None:
+    node = node_with_exited_back_end(10.0)
+    record_leader_each_second(node, 9, 100, store_away_at=8)
     assert is_cold(node, 10.0 + LONGEST_UNHEARD_REST)
     assert not is_cold(node, 10.0 + LONGEST_UNHEARD_REST + ENDED_REST + 0.1)
 
 
-def test_what_was_heard_of_while_a_store_is_away_stays_as_warm_as_it_is() -> None:
-    node = node_with_ended_back_end(10.0)
+def test_back_end_listed_again_during_a_store_outage_has_no_exit_cooldown() -> None:
+    node = node_with_exited_back_end(10.0)
     node.directory.put(Backend("a", "s", "127.0.0.1:1", "z1", 2), 11.0)
-    heard_each_second(node, 11, 20, store_away_at=8)
+    record_leader_each_second(node, 11, 20, store_away_at=8)
     assert not is_cold(node, 12.0)
--- a/tests/unit/test_node_command.py
+++ b/tests/unit/test_node_command.py
@@ -11,7 +11,7 @@
 from limedeck.node import main
 
 
-def test_a_missing_option_ends_with_the_code_for_settings(
+def test_missing_option_exits_with_the_code_for_settings(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     with pytest.raises(SystemExit) as caught:
@@ -20,7 +20,7 @@
     assert "--settings" in capsys.readouterr().err
 
 
-def test_settings_that_cannot_be_read_end_with_one_line(
+def test_unreadable_settings_are_reported_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main.run_command(["--settings", str(tmp_path / "none")]) == main.EXIT_SETTINGS
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("unused", ["cleo", "grpc", "httpcore", "httpx", "pydantic"])
-def test_a_node_imports_no_library_that_it_does_not_use(unused: str) -> None:
-    """Hundreds of nodes start at once after a loss of power, each with half of a core."""
+def test_node_does_not_import_unused_libraries(unused: str) -> None:
+    """After a power failure hundreds of nodes start at once, each with half of a core."""
     code = f"import sys, limedeck.node.main; sys.exit({unused!r} in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/unit/test_notifier.py
+++ b/tests/unit/test_notifier.py
@@ -1,11 +1,11 @@
-"""News reach whoever waits for them, and whoever was busy when they came."""
+"""Changes wake waiting tasks and are not missed by tasks that were busy."""
 
 from __future__ import annotations
 
 import anyio
 import pytest
 
-from limedeck.node import notifier as notices
+from limedeck.node import notifier as notifiers
 
 pytestmark = pytest.mark.anyio
 LONG = 3600.0
@@ -16,36 +16,36 @@
     return "asyncio"
 
 
-async def test_news_that_came_while_one_was_busy_are_not_waited_for() -> None:
-    """Found by reading: a leader that paused between two messages missed what changed meanwhile.
+async def test_wait_returns_immediately_after_a_change_that_was_missed() -> None:
+    """Otherwise a leader that pauses between two messages misses the changes in the meantime.
 
-    Nodes of a large fleet then heard of a new owner with the next heartbeat, 0.3 s later.
+    Nodes of a large fleet then received a new owner with the next heartbeat, 0.3 s later.
     """
-    notice = notices.Notifier()
-    known = notice.count
-    notice.give()
+    notifier = notifiers.Notifier()
+    known = notifier.count
+    notifier.give()
     with anyio.fail_after(LONG / 100):
-        await notice.wait_beyond(known, LONG)
+        await notifier.wait_beyond(known, LONG)
 
 
-async def test_who_knows_all_waits_for_the_next_news() -> None:
-    notice = notices.Notifier()
-    notice.give()
+async def test_wait_lasts_until_the_next_change() -> None:
+    notifier = notifiers.Notifier()
+    notifier.give()
     woken = []
 
     async def wait() -> None:
-        await notice.wait_beyond(1, LONG)
-        woken.append(notice.count)
+        await notifier.wait_beyond(1, LONG)
+        woken.append(notifier.count)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.wait_all_tasks_blocked()
         assert woken == []
-        notice.give()
+        notifier.give()
     assert woken == [2]
 
 
-async def test_without_news_the_wait_ends() -> None:
-    notice = notices.Notifier()
-    await notice.wait_beyond(0, 0.0)
-    assert notice.count == 0
+async def test_wait_ends_after_the_time_out() -> None:
+    notifier = notifiers.Notifier()
+    await notifier.wait_beyond(0, 0.0)
+    assert notifier.count == 0
--- a/tests/unit/test_reload.py
+++ b/tests/unit/test_reload.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while a node runs."""
+"""Reloading a settings file while a node runs."""
 
 from __future__ import annotations
 
@@ -35,44 +35,44 @@
     return file
 
 
-def opened(path: pathlib.Path) -> tuple[reload.SettingsFile, list[settings.NodeSettings]]:
+def open_file(path: pathlib.Path) -> tuple[reload.SettingsFile, list[settings.NodeSettings]]:
     file = reload.SettingsFile(str(path), settings.load_node_settings(str(path)))
-    taken: list[settings.NodeSettings] = []
-    file.on_change = taken.append
-    return file, taken
+    applied: list[settings.NodeSettings] = []
+    file.on_change = applied.append
+    return file, applied
 
 
-def test_what_can_be_taken_up_is(path: pathlib.Path) -> None:
-    file, taken = opened(path)
+def test_reloadable_sections_are_applied(path: pathlib.Path) -> None:
+    file, applied = open_file(path)
     path.write_text(TEXT.replace("slack = 60", "slack = 700").replace("grace = 4", "grace = 9"))
     file.reload_if_changed()
-    assert [(item.retries.slack, item.stop.grace) for item in taken] == [(700, 9)]
+    assert [(item.retries.slack, item.stop.grace) for item in applied] == [(700, 9)]
     file.reload_if_changed()
-    assert len(taken) == 1
+    assert len(applied) == 1
 
 
-def test_where_it_listens_waits_for_a_restart(path: pathlib.Path) -> None:
-    file, taken = opened(path)
+def test_changed_listen_address_is_not_applied_without_a_restart(path: pathlib.Path) -> None:
+    file, applied = open_file(path)
     path.write_text(TEXT.replace("127.0.0.1:1", "127.0.0.1:9999"))
     file.reload()
-    assert taken == []
+    assert applied == []
     assert file.in_force.node.callers == "127.0.0.1:1"
 
 
 @pytest.mark.parametrize("text", ["", "no toml", TEXT.replace("ratio = 0.2", 'ratio = "x"')])
-def test_a_file_that_cannot_be_used_changes_nothing(path: pathlib.Path, text: str) -> None:
-    file, taken = opened(path)
+def test_invalid_file_changes_nothing(path: pathlib.Path, text: str) -> None:
+    file, applied = open_file(path)
     path.write_text(text)
     file.reload_if_changed()
     path.unlink()
     file.reload_if_changed()
-    assert taken == []
+    assert applied == []
     assert file.in_force.retries.slack == 60
 
 
 @pytest.mark.parametrize(("longest", "lease"), [(10.0, 2.0), (2.0, 2.0), (1.0, 1.0), (0.4, 0.4)])
-def test_no_lease_is_above_what_back_ends_take(longest: float, lease: float) -> None:
-    """Found by reading: the bound was read and not used; back ends refuse a longer lease."""
+def test_lease_is_not_longer_than_back_ends_accept(longest: float, lease: float) -> None:
+    """The limit was once read and not used; back ends refuse a longer lease."""
     found = timing.timing_for_longest_lease(longest)
     assert found.lease == lease
     assert found.renewal_interval <= found.lease / 4
--- a/tests/unit/test_signals_at_start.py
+++ b/tests/unit/test_signals_at_start.py
@@ -1,7 +1,7 @@
-"""A signal that tells of changed settings while the process is still loading its modules.
+"""SIGHUP, which asks for a reload of the settings, while the process is still importing modules.
 
-Found by the fault soak, seed 290008: a node that had just been started got one, and was gone: by
-default the signal ends a process. Its settings are read later in the start anyway.
+By default the signal terminates a process: in the fault soak, seed 290008, it ended a node that had
+just been started. Ignoring it is safe, as the settings are read later in the start.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 sys.stdin.read()
 raise SystemExit(0)
 """
-"""Stands where the first large module is loaded from; it is loaded until its input ends."""
+"""Replaces the first large module that is imported; its import lasts until standard input ends."""
 
 
-def test_a_hang_up_while_modules_are_loaded_does_not_end_the_process(
+def test_sighup_during_imports_does_not_terminate_the_process(
     tmp_path: pathlib.Path,
 ) -> None:
     (tmp_path / "anyio.py").write_text(SLOW_MODULE)
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -1,4 +1,4 @@
-"""A suspended machine: its timers stand still, and everything else in the world goes on."""
+"""A suspended machine, whose timers stop while other machines continue."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class Machine:
-    """A machine that can be suspended: only the clock that counts that goes on."""
+    """Simulates suspension: only the clock that includes suspended time advances."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.asleep: Seconds = 0.0
+        self.suspended: Seconds = 0.0
         real: Callable[[int], float] = time.clock_gettime
 
         def clock_gettime(which: int) -> float:
-            return real(which) + (self.asleep if which == time.CLOCK_BOOTTIME else 0.0)
+            return real(which) + (self.suspended if which == time.CLOCK_BOOTTIME else 0.0)
 
         monkeypatch.setattr(time, "clock_gettime", clock_gettime)
 
@@ -43,12 +43,15 @@
     return Machine(monkeypatch)
 
 
-def test_the_steady_clock_counts_the_time_that_the_machine_was_suspended(machine: Machine) -> None:
-    """A leader that slept for 30 s took its term for confirmed a moment ago, and renewed leases."""
-    before, slept = clock.steady_clock(), clock.time_suspended()
-    machine.asleep += 30.0
+def test_steady_clock_includes_suspended_time(machine: Machine) -> None:
+    """Otherwise a leader that was suspended for 30 s believes that its term was just confirmed.
+
+    It then renews leases.
+    """
+    before, suspended_before = clock.steady_clock(), clock.time_suspended()
+    machine.suspended += 30.0
     assert clock.steady_clock() - before >= 30.0
-    assert clock.time_suspended() - slept == pytest.approx(30.0, abs=0.5)
+    assert clock.time_suspended() - suspended_before == pytest.approx(30.0, abs=0.5)
 
 
 async def _accept_silently(stream: SocketStream) -> None:
@@ -56,55 +59,55 @@
         await anyio.sleep_forever()
 
 
-async def test_a_request_whose_time_ended_in_its_sleep_is_given_up_on_waking(
+async def test_request_that_expired_during_a_suspension_is_aborted_after_it(
     machine: Machine,
 ) -> None:
     (port,) = processes.free_ports(1)
     client = http_client.HttpClient()
-    counted = telemetry.Telemetry()
-    watch = suspension.SuspensionWatch([client], counted)
+    metrics = telemetry.Telemetry()
+    watch = suspension.SuspensionWatch([client], metrics)
     problems: list[str] = []
 
-    async def ask(left: Seconds) -> None:
+    async def exchange(time_left: Seconds) -> None:
         request = http_client.HttpRequest(f"127.0.0.1:{port}", b"GET", b"/", [(b"host", b"h")])
         try:
-            await client.exchange(request, clock.steady_clock() + left)
+            await client.exchange(request, clock.steady_clock() + time_left)
         except AttemptFailed as error:
             problems.append(error.problem)
 
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
     async with listener, anyio.create_task_group() as tasks:
         tasks.start_soon(listener.serve, _accept_silently)
-        tasks.start_soon(ask, LONG)
-        tasks.start_soon(ask, 3 * LONG)
+        tasks.start_soon(exchange, LONG)
+        tasks.start_soon(exchange, 3 * LONG)
         await polling.until(lambda: len(client._under_way) == 2)
-        watch.look()
+        watch.check()
         await anyio.sleep(0.05)
         assert problems == []
-        machine.asleep += LONG
-        watch.look()
+        machine.suspended += LONG
+        watch.check()
         await polling.until(lambda: bool(problems))
         assert problems == [http_client.OUT_OF_TIME]
         tasks.cancel_scope.cancel()
-    told = counted.registry.get_sample_value("limedeck_suspended_seconds_total")
-    # Two clocks are read one after the other: some microseconds lie between them.
-    assert told == pytest.approx(LONG, abs=0.001), told
+    counted_seconds = metrics.registry.get_sample_value("limedeck_suspended_seconds_total")
+    # The two clocks are read one after the other, some microseconds apart.
+    assert counted_seconds == pytest.approx(LONG, abs=0.001), counted_seconds
 
 
-async def test_nothing_is_sent_when_the_time_ended_while_a_connection_came_up(
+async def test_request_that_expires_while_connecting_is_not_sent(
     machine: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A grant that was begun before the machine slept reached its back end after it."""
+    """Otherwise a grant that is started before a suspension reaches its back end after it."""
     (port,) = processes.free_ports(1)
     client = http_client.HttpClient()
     opened = client._open
 
-    async def open_and_sleep(address: str, until: Seconds) -> http_client._Connection:
+    async def open_and_suspend(address: str, until: Seconds) -> http_client._Connection:
         connection = await opened(address, until)
-        machine.asleep += LONG
+        machine.suspended += LONG
         return connection
 
-    monkeypatch.setattr(client, "_open", open_and_sleep)
+    monkeypatch.setattr(client, "_open", open_and_suspend)
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
     async with listener, anyio.create_task_group() as tasks:
         tasks.start_soon(listener.serve, _accept_silently)
