--- a/src/limedeck/node/server.py
+++ b/src/limedeck/node/server.py
@@ -223,7 +223,7 @@
 
     @contextlib.asynccontextmanager
     async def _signals_handled(self, stop_requested: anyio.Event) -> AsyncIterator[None]:
-        """Handle signals until all servers have stopped; repeated signals are ignored."""
+        """Handle signals until all servers have stopped; another stop signal has no effect."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self._handle_signals, stop_requested)
             yield
--- a/src/limedeck/node/settings.py
+++ b/src/limedeck/node/settings.py
@@ -88,7 +88,7 @@
         platform sends no new connections after two failed readiness checks, one per second.
     finishing
         Fraction of the grace after which the process exits even if requests are in flight; the rest
-        is for writing the last responses and for a slow exit on a loaded machine.
+        is for writing the last responses and for the exit on a slow machine.
     """
 
     grace: Positive
--- a/src/limedeck/node/suspension.py
+++ b/src/limedeck/node/suspension.py
@@ -16,7 +16,8 @@
 """Time between two checks, and so the longest additional delay of a time-out after a suspension.
 Without the check, timers would fire late by the duration of the suspension."""
 MIN_SUSPENSION: Seconds = 0.02
-"""The two clocks are read one after the other, and the process may be descheduled in between."""
+"""Smaller differences are ignored: the two clocks are read one after the other, and the process may
+be descheduled in between."""
 
 
 class SuspensionWatch:
