--- a/src/limedeck/forwarding/admission.py
+++ b/src/limedeck/forwarding/admission.py
@@ -68,7 +68,7 @@
         return Refuse(outcome, reason, retry_after, details)
 
     def refusal(self, state: BackendState, now: Seconds) -> Refuse | None:
-        """Refuse a request that would be lost at a back end or would miss its time there."""
+        """Refuse a request that a back end is expected to reject or to serve too late."""
         return (
             self._refusal_if_full(state, now)
             or self._refusal_for_deadline(state, now)
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Routes, budget, choice of back ends and the decisions for one request."""
+"""Routes, retry budget, selection of back ends, and the decisions for one request."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     assert choose_service(split, b"17") == choose_service(split, b"17")
 
 
-def test_a_weight_of_zero_gets_nothing() -> None:
+def test_a_target_of_weight_zero_gets_no_requests() -> None:
     split = route(targets=(Target("s", 0), Target("t", 5)))
     assert {choose_service(split, b"%d" % number) for number in range(500)} == {"t"}
 
@@ -97,8 +97,12 @@
         assert len(inside) <= 0.2 * 101 + 30
 
 
-def test_retries_late_in_a_piece_are_not_forgotten_with_its_begin() -> None:
-    """Three nodes took 212 of 188 in a window: each had its share again after nine tenths of it."""
+def test_retries_late_in_a_bucket_count_until_its_end_leaves_the_window() -> None:
+    """Guards against dropping the retries of a bucket as soon as its start leaves the window.
+
+    Each node then had its share again after nine tenths of a window, and three nodes made 212
+    retries in a window that allowed 188.
+    """
     budget = RetryBudget(RetryAllowance(0.0, 20.0, 10.0))
     budget.record_request(0.0)
     taken = [0.9 for _ in range(100) if budget.try_acquire(0.9, 1)]
@@ -110,7 +114,7 @@
 # ---------------------------------------------------------------------- back ends
 
 
-def test_one_that_drains_or_was_tried_is_not_chosen() -> None:
+def test_a_draining_or_already_tried_back_end_is_not_chosen() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(backend("a", draining=True), 0.0)
     directory.put(backend("bb"), 0.0)
@@ -120,7 +124,7 @@
     assert directory.choose("s", {"bb", "ccc"}, b"1", 1.0) is None
 
 
-def test_a_loaded_one_is_passed_over_until_its_report_is_old() -> None:
+def test_a_loaded_back_end_is_not_chosen_until_its_report_is_old() -> None:
     directory = BackendDirectory("z1", "n")
     for name in ("a", "bb"):
         directory.put(backend(name), 0.0)
@@ -133,7 +137,7 @@
     assert picks == {"a", "bb"}
 
 
-def test_one_of_the_own_zone_is_preferred_among_equals() -> None:
+def test_a_back_end_of_the_own_zone_is_preferred_among_equals() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(backend("a", zone="z2"), 0.0)
     directory.put(backend("bb", zone="z1"), 0.0)
@@ -141,7 +145,7 @@
     assert picks == {"bb"}
 
 
-def test_one_that_fails_is_left_out_and_tried_again_by_a_real_request() -> None:
+def test_a_failing_back_end_is_ejected_for_less_than_a_second() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(backend("a"), 0.0)
     directory.put(backend("bb"), 0.0)
@@ -153,7 +157,7 @@
     assert failing.ejected_until < 2.0
 
 
-def test_failing_ones_are_used_while_too_few_others_are_left() -> None:
+def test_failing_back_ends_are_used_while_too_few_others_are_left() -> None:
     directory = BackendDirectory("z1", "n")
     for name in ("a", "b", "c", "d"):
         directory.put(backend(name), 0.0)
@@ -166,7 +170,7 @@
         assert {state.backend.backend_id for state in found if state} == left
 
 
-def test_an_entry_that_comes_back_starts_anew() -> None:
+def test_a_removed_back_end_is_forgotten_except_for_its_endpoint() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(backend("a"), 0.0)
     directory.remove("a")
@@ -177,7 +181,7 @@
 # ---------------------------------------------------------------------- owners
 
 
-def test_every_key_has_one_entry() -> None:
+def test_every_key_has_one_owner_or_none() -> None:
     owners = OwnerMap(3, (OwnedRange(0, 9, "a"), OwnedRange(10, 19, "")))
     assert [owners.owner(key) for key in (0, 9, 10, 19, 20)] == ["a", "a", "", "", ""]
 
@@ -185,8 +189,8 @@
 # ---------------------------------------------------------------------- requests
 
 
-class Play:
-    """One request against two back ends."""
+class RequestScenario:
+    """One request at a node, two back ends unless stated otherwise."""
 
     def __init__(
         self, repeatable: bool = True, keyed: bool = False, slack: float = 100.0, backends: int = 2
@@ -209,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    ("phase", "repeatable", "then"),
+    ("phase", "repeatable", "expected"),
     [
         (FailurePhase.NOT_CONNECTED, True, "retry"),
         (FailurePhase.NOT_CONNECTED, False, "retry"),
@@ -226,12 +230,12 @@
         (FailurePhase.ANSWERING, False, "unknown"),
     ],
 )
-def test_what_follows_a_failure(phase: FailurePhase, repeatable: bool, then: str) -> None:
-    play = Play(repeatable)
-    first = play.start()
+def test_what_follows_a_failure(phase: FailurePhase, repeatable: bool, expected: str) -> None:
+    scenario = RequestScenario(repeatable)
+    first = scenario.start()
     assert isinstance(first, Attempt)
-    second = play.fail(phase)
-    if then == "retry":
+    second = scenario.fail(phase)
+    if expected == "retry":
         assert isinstance(second, Attempt)
         assert second.state is not first.state
     else:
@@ -239,157 +243,160 @@
         assert second.outcome is Outcome.UNKNOWN
 
 
-def test_after_its_attempts_a_request_that_never_ran_is_said_not_to_have_run() -> None:
-    play = Play(repeatable=False, backends=3)
-    play.start()
-    assert isinstance(play.fail(FailurePhase.REFUSED), Attempt)
-    last = play.fail(FailurePhase.REFUSED, 10.2)
+def test_a_request_that_never_ran_is_reported_as_not_run_after_its_attempts() -> None:
+    scenario = RequestScenario(repeatable=False, backends=3)
+    scenario.start()
+    assert isinstance(scenario.fail(FailurePhase.REFUSED), Attempt)
+    last = scenario.fail(FailurePhase.REFUSED, 10.2)
     assert isinstance(last, Refuse)
     assert (last.outcome, last.reason) == (Outcome.NOT_RUN, RefusalReason.REFUSED)
     assert last.retry_after > 0
 
 
-def test_one_attempt_that_may_have_run_is_never_forgotten() -> None:
-    play = Play(backends=3)
-    play.start()
-    play.fail(FailurePhase.AWAITING)
-    last = play.fail(FailurePhase.REFUSED, 10.2)
+def test_the_outcome_is_unknown_if_any_attempt_may_have_run() -> None:
+    scenario = RequestScenario(backends=3)
+    scenario.start()
+    scenario.fail(FailurePhase.AWAITING)
+    last = scenario.fail(FailurePhase.REFUSED, 10.2)
     assert isinstance(last, Refuse)
     assert last.outcome is Outcome.UNKNOWN
 
 
 def test_an_attempt_that_reached_no_back_end_needs_no_budget() -> None:
-    """While back ends ended one after the other, closed ports used up the retries of all others.
+    """Guards against counting attempts at closed ports against the retry budget.
 
-    Of 100 requests that ran beside, 60 were served, and 100 without the one that ended back ends.
+    While back ends crashed one after another, such attempts used up the retries of all requests: of
+    100 requests that ran beside the crashing one 60 were served, and all 100 without it.
     """
     for phase in (FailurePhase.NOT_CONNECTED, FailurePhase.NOT_SENT):
-        play = Play(slack=0.0)
-        play.start()
-        assert isinstance(play.fail(phase), Attempt)
+        scenario = RequestScenario(slack=0.0)
+        scenario.start()
+        assert isinstance(scenario.fail(phase), Attempt)
 
 
 def test_without_budget_there_is_one_attempt() -> None:
-    play = Play(slack=0.0)
-    play.start()
-    last = play.fail(FailurePhase.REFUSED)
+    scenario = RequestScenario(slack=0.0)
+    scenario.start()
+    last = scenario.fail(FailurePhase.REFUSED)
     assert isinstance(last, Refuse)
     assert last.outcome is Outcome.NOT_RUN
 
 
-def test_the_routes_time_and_the_callers_deadline_both_end_it() -> None:
-    play = Play()
-    first = play.start()
+def test_a_request_times_out_at_the_callers_deadline() -> None:
+    scenario = RequestScenario()
+    first = scenario.start()
     assert isinstance(first, Attempt)
     assert first.until == 10.8
-    last = play.fail(FailurePhase.AWAITING, 10.8)
+    last = scenario.fail(FailurePhase.AWAITING, 10.8)
     assert isinstance(last, Refuse)
     assert last.reason is RefusalReason.TIMED_OUT
 
 
 def test_a_keyed_request_goes_to_its_owner_only() -> None:
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 4, "b"), OwnedRange(5, 9, "bb")))
-    first = play.start()
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 4, "b"), OwnedRange(5, 9, "bb")))
+    first = scenario.start()
     assert isinstance(first, Attempt)
     assert first.state.backend.backend_id == "bb"
 
 
-def test_a_keyed_request_waits_for_a_move_and_then_goes_on() -> None:
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
-    play.start()
-    waiting = play.fail(FailurePhase.REFUSED, 10.05, wrong_owner=True)
+def test_a_keyed_request_waits_until_its_key_has_moved() -> None:
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
+    scenario.start()
+    waiting = scenario.fail(FailurePhase.REFUSED, 10.05, wrong_owner=True)
     assert isinstance(waiting, Wait)
-    play.view.owners = OwnerMap(2, (OwnedRange(0, 9, "bb"),))
-    again = play.core.next_command(10.06, 1)
+    scenario.view.owners = OwnerMap(2, (OwnedRange(0, 9, "bb"),))
+    again = scenario.core.next_command(10.06, 1)
     assert isinstance(again, Attempt)
     assert again.state.backend.backend_id == "bb"
 
 
 def test_a_keyed_request_that_fails_late_is_tried_again_at_its_owner() -> None:
-    """Found in an incident of vetagenda-ne: it was refused for want of an owner, which it had."""
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
-    play.start()
-    waiting = play.fail(FailurePhase.AWAITING, 10.5)
+    """Guards against an incident in which it was refused as if its key had no owner."""
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
+    scenario.start()
+    waiting = scenario.fail(FailurePhase.AWAITING, 10.5)
     assert isinstance(waiting, Wait)
-    assert isinstance(play.core.next_command(waiting.until, 1), Attempt)
+    assert isinstance(scenario.core.next_command(waiting.until, 1), Attempt)
 
 
-def test_a_request_for_a_lost_owners_keys_is_told_at_once_when_they_are_free() -> None:
-    """Found on zhbs-gate-large scale-1: callers used up their returns before a lease had ended."""
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=12.0),))
-    refused = play.start(10.0)
+def test_a_request_for_a_lost_owners_keys_is_told_to_retry_after_the_lease() -> None:
+    """Guards against callers that use up their retries before the lease has ended."""
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=12.0),))
+    refused = scenario.start(10.0)
     assert isinstance(refused, Refuse)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.NO_OWNER)
     assert 2.0 < refused.retry_after < 3.0
-    assert isinstance(play.start(11.9), Refuse)
+    assert isinstance(scenario.start(11.9), Refuse)
 
 
 def test_a_request_waits_for_a_lost_owners_keys_that_are_free_soon() -> None:
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=10.2),))
-    assert isinstance(play.start(10.0), Wait)
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=10.2),))
+    assert isinstance(scenario.start(10.0), Wait)
 
 
-def test_callers_are_not_told_to_return_long_after_a_lease_has_ended() -> None:
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=1e9),))
-    refused = play.start(10.0)
+def test_retry_after_is_bounded_whatever_end_of_a_lease_is_known() -> None:
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "", free_at=1e9),))
+    refused = scenario.start(10.0)
     assert isinstance(refused, Refuse)
     assert refused.retry_after <= 4.0
 
 
 @pytest.mark.parametrize("phase", [FailurePhase.TURNED_AWAY, FailurePhase.REFUSED])
-def test_what_a_full_owner_turned_away_is_told_when_there_is_room(phase: FailurePhase) -> None:
-    """Found on zhbs-gate-large scale-1: callers told to return after 0.1 s were refused again."""
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
-    owner = play.directory.find("b")
+def test_a_request_that_a_full_owner_rejects_is_told_when_there_is_room(
+    phase: FailurePhase,
+) -> None:
+    """Guards against a Retry-After of 0.1 s, after which callers were refused again."""
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
+    owner = scenario.directory.find("b")
     assert owner is not None
     for _ in range(FEWEST_SAMPLES):
         owner.record_response(0.1, LoadReport(0, 0, 2), 9.0, "/a/")
-    play.start()
-    refused = play.fail(phase, 10.01)
+    scenario.start()
+    refused = scenario.fail(phase, 10.01)
     assert isinstance(refused, Refuse)
     assert refused.outcome is Outcome.NOT_RUN
     room = owner.expected_time_of("/a/", 10.01)
     assert room is not None
-    assert refused.retry_after >= room - play.core.route.objective
+    assert refused.retry_after >= room - scenario.core.route.objective
 
 
-def test_an_owner_that_is_not_reached_is_not_asked_for_again_at_once() -> None:
-    play = Play(keyed=True)
-    play.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
-    play.start()
-    waiting = play.fail(FailurePhase.NOT_CONNECTED, 10.05)
+def test_callers_of_an_unreachable_owner_are_not_told_to_retry_at_once() -> None:
+    scenario = RequestScenario(keyed=True)
+    scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
+    scenario.start()
+    waiting = scenario.fail(FailurePhase.NOT_CONNECTED, 10.05)
     assert isinstance(waiting, Wait)
-    assert isinstance(play.core.next_command(waiting.until, 1), Attempt)
-    refused = play.fail(FailurePhase.NOT_CONNECTED, 10.2)
+    assert isinstance(scenario.core.next_command(waiting.until, 1), Attempt)
+    refused = scenario.fail(FailurePhase.NOT_CONNECTED, 10.2)
     assert isinstance(refused, Refuse)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.UNREACHABLE)
     assert refused.retry_after >= 0.5
 
 
 def test_a_keyed_request_without_an_owner_is_refused_soon() -> None:
-    play = Play(keyed=True)
-    command = play.start()
+    scenario = RequestScenario(keyed=True)
+    command = scenario.start()
     now = 10.0
     while isinstance(command, Wait):
         assert command.until > now
         now = command.until
-        command = play.core.next_command(now, 1)
+        command = scenario.core.next_command(now, 1)
     assert isinstance(command, Refuse)
     assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.NO_OWNER)
     assert now <= 10.41
 
 
 def test_a_keyed_request_without_a_readable_key_is_refused() -> None:
-    play = Play(keyed=True)
-    play.core.position = None
-    command = play.start()
+    scenario = RequestScenario(keyed=True)
+    scenario.core.position = None
+    command = scenario.start()
     assert isinstance(command, Refuse)
     assert command.reason is RefusalReason.BAD_KEY
 
@@ -397,7 +404,9 @@
 # ---------------------------------------------------------------------- early refusal
 
 
-def busy_owner(running: int, waiting: int, reported: float, now: float = 10.0) -> RequestCore:
+def request_at_busy_owner(
+    running: int, waiting: int, reported: float, now: float = 10.0
+) -> RequestCore:
     directory = BackendDirectory("z1", "n")
     directory.put(backend("b1"), 0.0)
     state = directory.find("b1")
@@ -414,29 +423,29 @@
     ("running", "waiting", "sent"),
     [(0, 0, True), (2, 0, True), (2, 2, True), (2, 6, False), (2, 8, False)],
 )
-def test_what_would_miss_its_objective_is_refused_at_once(
+def test_a_request_that_would_miss_its_objective_is_refused_at_once(
     running: int, waiting: int, sent: bool
 ) -> None:
-    """Found on quiet days with hot keys: such requests were served late, or refused late."""
-    command = busy_owner(running, waiting, 10.0).next_command(10.0, 3)
+    """Guards against serving or refusing such requests late, as happened with hot keys."""
+    command = request_at_busy_owner(running, waiting, 10.0).next_command(10.0, 3)
     assert isinstance(command, Attempt) is sent
     if isinstance(command, Refuse):
         assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.OVERLOADED)
         assert 0.05 < command.retry_after <= 1.0
 
 
-def test_the_longer_the_queue_the_later_the_caller_comes_back() -> None:
+def test_retry_after_grows_with_the_queue() -> None:
     waits = []
     for waiting in (6, 8, 12):
-        command = busy_owner(2, waiting, 10.0).next_command(10.0, 3)
+        command = request_at_busy_owner(2, waiting, 10.0).next_command(10.0, 3)
         assert isinstance(command, Refuse)
         waits.append(command.retry_after)
     assert waits == sorted(waits)
     assert waits[0] < waits[-1]
 
 
-def test_an_owner_that_turns_a_request_away_is_not_asked_again_for_it() -> None:
-    core = busy_owner(0, 0, 10.0)
+def test_a_request_is_not_sent_again_to_an_owner_that_rejects_it() -> None:
+    core = request_at_busy_owner(0, 0, 10.0)
     assert isinstance(core.next_command(10.0, 3), Attempt)
     command = core.handle_failure(FailurePhase.REFUSED, 10.005, 3)
     while isinstance(command, Wait):
@@ -446,46 +455,46 @@
     assert command.outcome is Outcome.NOT_RUN
 
 
-def test_an_old_report_refuses_nothing() -> None:
-    assert isinstance(busy_owner(2, 8, 10.0, 12.0).next_command(12.0, 3), Attempt)
+def test_an_old_load_report_causes_no_refusal() -> None:
+    assert isinstance(request_at_busy_owner(2, 8, 10.0, 12.0).next_command(12.0, 3), Attempt)
 
 
-def test_past_the_early_part_a_late_answer_is_better_than_none() -> None:
-    core = busy_owner(2, 8, 10.0)
+def test_no_request_is_refused_for_its_objective_after_the_early_fraction() -> None:
+    core = request_at_busy_owner(2, 8, 10.0)
     assert isinstance(core.next_command(10.0 + 0.06, 3), Attempt)
 
 
-def returned_with(left: float, waiting: int) -> Command:
-    """What a caller gets that has come back with so much time left, at an owner with a queue."""
-    core = busy_owner(2, waiting, 10.0)
+def command_for_client_retry(time_left: float, waiting: int) -> Command:
+    """Decide on a client retry with this much time left, at an owner with a queue."""
+    core = request_at_busy_owner(2, waiting, 10.0)
     core.claim.is_client_retry = True
-    core.claim.until = 10.0 + left
+    core.claim.until = 10.0 + time_left
     return core.next_command(10.0, 3)
 
 
-def test_who_came_back_is_served_late_if_the_time_suffices() -> None:
-    assert isinstance(returned_with(0.4, 8), Attempt)
+def test_a_client_retry_is_served_late_if_its_time_suffices() -> None:
+    assert isinstance(command_for_client_retry(0.4, 8), Attempt)
 
 
-def test_who_came_back_is_refused_at_once_if_the_time_cannot_suffice() -> None:
-    """Otherwise the caller waits to its deadline for an answer that will not come."""
-    command = returned_with(0.15, 8)
+def test_a_client_retry_is_refused_at_once_if_its_time_cannot_suffice() -> None:
+    """Otherwise the caller waits until its deadline for a response that will not come."""
+    command = command_for_client_retry(0.15, 8)
     assert isinstance(command, Refuse)
     assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.OVERLOADED)
 
 
 def test_a_request_that_may_have_run_is_tried_whatever_time_is_left() -> None:
-    """A refusal would promise that it has not run."""
-    core = busy_owner(2, 8, 10.0)
+    """Load and deadline are a reason to refuse only requests that have certainly not run."""
+    core = request_at_busy_owner(2, 8, 10.0)
     core.claim.until = 10.15
     core.claim.may_have_run = True
     assert isinstance(core.next_command(10.0, 3), Attempt)
 
 
-# ---------------------------------------------------------------------- loads that are told
+# ---------------------------------------------------------------------- load reports
 
 
-def told_state(*reports: LoadReport) -> BackendState:
+def state_with_reports(*reports: LoadReport) -> BackendState:
     directory = BackendDirectory("z1", "n1")
     directory.put(backend("a", slots=3), 0.0)
     state = directory.find("a")
@@ -495,27 +504,27 @@
     return state
 
 
-def test_a_slow_moment_of_a_back_end_is_believed_for_a_moment() -> None:
-    state = told_state(LoadReport(1, 0, 3, 3.0))
+def test_a_reported_slowdown_fades_within_a_second() -> None:
+    state = state_with_reports(LoadReport(1, 0, 3, 3.0))
     assert state.relative_pace(1.0) > 2.5
     assert state.relative_pace(1.2) < 1.8
     assert state.relative_pace(2.0) == pytest.approx(1.0, abs=0.02)
 
 
-def test_a_back_end_that_is_always_slow_is_not_slower_than_itself() -> None:
-    """Its service time tells that already."""
-    state = told_state(*[LoadReport(1, 0, 3, 3.0)] * 200)
+def test_a_constant_slowdown_does_not_change_the_relative_pace() -> None:
+    """The service time of the back end includes it already."""
+    state = state_with_reports(*[LoadReport(1, 0, 3, 3.0)] * 200)
     assert state.relative_pace(1.0) == pytest.approx(1.0, abs=0.01)
 
 
-def test_the_faster_moment_is_chosen_of_two_equals() -> None:
+def test_of_two_equal_back_ends_the_one_without_slowdown_is_chosen() -> None:
     directory = BackendDirectory("z1", "n1")
-    for name, pace in (("a", 3.0), ("bb", 1.0)):
+    for name, slowdown in (("a", 3.0), ("bb", 1.0)):
         directory.put(backend(name), 0.0)
         state = directory.find(name)
         assert state is not None
-        state.record_response(0.1, LoadReport(0, 0, 2, pace), 1.0)
-        state.record_load(LoadReport(0, 0, 2, pace), 1.0)
+        state.record_response(0.1, LoadReport(0, 0, 2, slowdown), 1.0)
+        state.record_load(LoadReport(0, 0, 2, slowdown), 1.0)
     chosen = Counter(
         found.backend.backend_id
         for number in range(50)
@@ -524,8 +533,11 @@
     assert chosen["bb"] == 50
 
 
-def test_an_owner_that_is_known_to_be_full_is_not_sent_to() -> None:
-    """It turned 3,296 of 10,194 requests away on a quiet day, each at the cost of an answer."""
+def test_no_request_is_sent_to_an_owner_that_is_known_to_be_full() -> None:
+    """Guards against requests that a full owner rejects, each at the cost of a response.
+
+    On a quiet day such an owner rejected 3,296 of 10,194 requests.
+    """
     directory = BackendDirectory("z1", "n1")
     directory.put(backend("a", slots=3), 0.0)
     state = directory.find("a")
@@ -544,13 +556,13 @@
     assert isinstance(later.next_command(1.5, 3), Attempt)
 
 
-def test_one_that_turns_requests_away_with_room_fails_and_is_not_full() -> None:
-    state = told_state(LoadReport(1, 0, 3))
+def test_a_back_end_that_rejects_requests_with_room_left_is_not_taken_for_full() -> None:
+    state = state_with_reports(LoadReport(1, 0, 3))
     state.record_queue_full(1.0)
     assert state.full_at is None
 
 
-# ---------------------------------------------------------------------- zones, cold ones, lives
+# ---------------------------------------------------------------------- zones, cold back ends
 
 
 def keyed_view(owner: str) -> ServiceView:
@@ -569,7 +581,10 @@
 
 
 def test_nothing_is_sent_to_an_evacuated_zone() -> None:
-    """2,193 requests came to such back ends on one day, which nobody had read of."""
+    """Guards against nodes that do not read which zones are evacuated.
+
+    Back ends of evacuated zones got 2,193 requests in one day for that reason.
+    """
     directory = BackendDirectory("z1", "n1")
     directory.put(backend("a", zone="z1"), 0.0)
     directory.put(backend("bb", zone="z2"), 0.0)
@@ -633,7 +648,7 @@
     assert directory.choose("s", (), b"1", 0.1) is directory.find("a")
 
 
-def test_a_cold_owner_gets_nothing_and_its_callers_are_told_at_once() -> None:
+def test_a_cold_owner_gets_nothing_and_its_callers_are_refused_at_once() -> None:
     directory = BackendDirectory("z3", "n1")
     directory.set_cold_rates({"s": 4.2})
     directory.put(cold("a", 3.0), 0.0)
@@ -644,7 +659,7 @@
     assert isinstance(command_for(keyed_view("a"), directory, 3.1, 5), Attempt)
 
 
-def test_what_has_ended_is_taken_for_cold_until_its_entry_changes() -> None:
+def test_a_back_end_whose_process_exited_is_cold_until_its_entry_changes() -> None:
     directory = BackendDirectory("z3", "n1")
     directory.set_cold_rates({"s": 4.2})
     directory.put(backend("a"), 0.0)
@@ -658,7 +673,7 @@
     assert not state.is_cold(6.6)
 
 
-def test_another_life_under_the_same_name_knows_nothing_of_the_former() -> None:
+def test_a_new_incarnation_starts_without_the_state_of_the_former() -> None:
     directory = BackendDirectory("z3", "n1")
     directory.put(cold("a@1", 0.0, "a"), 0.0)
     former = directory.find("a@1")
@@ -666,27 +681,27 @@
     former.record_failure(1.0)
     former.record_load(LoadReport(3, 9, 3), 1.0)
     directory.put(cold("a@2", 3.0, "a"), 2.0)
-    life = directory.find("a@2")
-    assert life is not None
+    incarnation = directory.find("a@2")
+    assert incarnation is not None
     assert directory.find("a@1") is None
-    assert (life.failures, life.expected_load(2.0)) == (0, 0)
+    assert (incarnation.failures, incarnation.expected_load(2.0)) == (0, 0)
     assert directory.last_endpoint("a@1") == directory.last_endpoint("a@2")
     assert directory.remove_instance("a") == "a@2"
     assert directory.of_service("s") == []
 
 
-def test_where_all_are_cold_each_request_needs_a_permit_for_what_a_cold_one_bears() -> None:
+def test_where_all_back_ends_are_cold_each_request_needs_a_permit() -> None:
     directory = BackendDirectory("z3", "n1")
     directory.set_cold_rates({"s": 4.0})
     directory.put(cold("a", 60.0), 0.0)
     view = ServiceView("s", False, RetryBudget(ALLOWANCE))
-    asked = command_for(view, directory, 0.1, None)
-    assert isinstance(asked, RequestPermit)
-    assert asked.permit_request.bound.rate == 4.0
+    command = command_for(view, directory, 0.1, None)
+    assert isinstance(command, RequestPermit)
+    assert command.permit_request.bound.rate == 4.0
 
 
-def test_a_node_that_has_not_heard_how_many_share_the_slack_takes_none_of_it() -> None:
-    """74 nodes that start at once would have taken it 25 times."""
+def test_a_node_that_does_not_know_how_many_share_the_slack_uses_none_of_it() -> None:
+    """Otherwise 74 nodes that start at once would use the slack 25 times over."""
     budget = RetryBudget(ALLOWANCE)
     assert not budget.try_acquire(1.0, 0)
     for _ in range(100):
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are found to end back ends, for how long they are refused, and what nodes tell."""
+"""Which requests are quarantined, for how long, and what nodes exchange about them."""
 
 from __future__ import annotations
 
@@ -9,64 +9,66 @@
 from limedeck.forwarding import crashes, quarantine, request_content
 
 BAD, OTHER, THIRD = 1, 2, 3
-JUDGED = 0.01 + quarantine.GATHERING
+EVALUATION_DELAY = 0.01 + quarantine.GATHERING
 
 
 def fingerprints(number: int) -> request_content.RequestFingerprints:
-    """A request that is known by one number, however widely it is looked at."""
+    """Return the fingerprints of a request, all of them the same number."""
     return request_content.RequestFingerprints(number, number, number)
 
 
 class Fleet:
-    """Nodes that tell each other everything, through the first one."""
+    """Nodes that exchange all updates through the first one."""
 
     def __init__(self, count: int = 3) -> None:
         self.nodes = [quarantine.QuarantineLedger(f"n{number}") for number in range(count)]
         self._names = (f"b{number}" for number in itertools.count())
-        self._told: dict[tuple[int, int], int] = {}
+        self._known_versions: dict[tuple[int, int], int] = {}
 
     def crash(self, lost: dict[int, list[int]], now: float) -> str:
-        """A back end ends; these requests were under way at it, by node."""
+        """A back end crashes with these requests in flight, listed by node."""
         name = next(self._names)
         for number, requests in lost.items():
             for request in requests:
                 self.nodes[number].record_lost_request(name, fingerprints(request), now)
         for number in lost:
             self.nodes[number].record_process_exit(name, now + 0.01)
-        self.tell(now + 0.3)
-        self.judge(now + 0.3)
-        self.judge(now + JUDGED)
+        self.exchange_updates(now + 0.3)
+        self.evaluate(now + 0.3)
+        self.evaluate(now + EVALUATION_DELAY)
         return name
 
-    def judge(self, now: float) -> None:
-        """All nodes look at what they know."""
+    def evaluate(self, now: float) -> None:
+        """All nodes evaluate what they know."""
         for node in self.nodes:
             node.handle_tick(now)
 
-    def tell(self, now: float) -> None:
-        """All nodes tell the first one what is new, and it tells all others."""
+    def exchange_updates(self, now: float) -> None:
+        """All nodes send their updates to the first one, which forwards them to all others."""
         others = range(1, len(self.nodes))
-        for one, other in [(item, 0) for item in others] + [(0, item) for item in others]:
-            while self._tell_once(one, other, now):
+        for sender, receiver in [(item, 0) for item in others] + [(0, item) for item in others]:
+            while self._send_updates(sender, receiver, now):
                 pass
 
-    def _tell_once(self, one: int, other: int, now: float) -> bool:
-        told = self._told.get((one, other), 0)
-        news, self._told[one, other] = self.nodes[one].updates_since(told, other)
-        self.nodes[other].apply(news, one, now)
-        return self._told[one, other] > told
+    def _send_updates(self, sender: int, receiver: int, now: float) -> bool:
+        known_version = self._known_versions.get((sender, receiver), 0)
+        updates, self._known_versions[sender, receiver] = self.nodes[sender].updates_since(
+            known_version, receiver
+        )
+        self.nodes[receiver].apply(updates, sender, now)
+        return self._known_versions[sender, receiver] > known_version
 
     def refusing(self, request: int, now: float) -> list[bool]:
-        """Which nodes refuse a request."""
+        """Return for each node whether it refuses a request."""
         return [node.refused_for(request, now) is not None for node in self.nodes]
 
 
-def convict(fleet: Fleet, request: int = BAD, start: float = 0.0) -> None:
+def crash_repeatedly(fleet: Fleet, request: int = BAD, start: float = 0.0) -> None:
     for number in range(crashes.MIN_CRASHES):
         fleet.crash({number % len(fleet.nodes): [request]}, start + number)
 
 
-def test_what_has_ended_three_back_ends_at_different_nodes_is_refused_by_all() -> None:
+def test_a_request_that_crashed_three_back_ends_at_different_nodes_is_refused_by_all() -> None:
     fleet = Fleet()
     fleet.crash({0: [BAD]}, 0.0)
     fleet.crash({1: [BAD]}, 1.0)
@@ -76,7 +78,7 @@
     assert fleet.refusing(OTHER, 3.0) == [False] * 3
 
 
-def test_what_ran_beside_it_once_or_twice_is_not_refused() -> None:
+def test_requests_that_were_lost_beside_it_once_or_twice_are_not_refused() -> None:
     fleet = Fleet()
     fleet.crash({0: [BAD, OTHER], 1: [THIRD]}, 0.0)
     fleet.crash({1: [BAD], 2: [OTHER]}, 1.0)
@@ -86,7 +88,7 @@
         assert fleet.refusing(request, 2.5) == [False] * 3
 
 
-def test_two_that_were_always_lost_together_are_told_apart_by_the_next_crash() -> None:
+def test_two_requests_always_lost_together_are_distinguished_by_the_next_crash() -> None:
     fleet = Fleet()
     for number in range(3):
         fleet.crash({0: [BAD], 1: [OTHER]}, float(number))
@@ -96,7 +98,7 @@
     assert fleet.refusing(OTHER, 4.5) == [False] * 3
 
 
-def test_two_that_are_never_apart_nor_served_are_both_refused_in_the_end() -> None:
+def test_two_requests_always_lost_together_and_never_served_are_both_refused() -> None:
     fleet = Fleet()
     for number in range(crashes.MIN_CRASHES_IF_TIED):
         assert fleet.refusing(BAD, float(number)) == [False] * 3
@@ -105,41 +107,41 @@
     assert fleet.refusing(OTHER, 9.0) == [True] * 3
 
 
-def test_what_may_have_ended_three_waits_until_it_is_judged() -> None:
+def test_a_request_that_may_have_crashed_three_back_ends_waits_for_the_evaluation() -> None:
     ledger = quarantine.QuarantineLedger("n")
     for number in range(3):
         assert ledger.blocked_until(BAD, number * 0.1) is None
         ledger.record_lost_request(f"b{number}", fingerprints(BAD), number * 0.1)
         ledger.record_lost_request(f"b{number}", fingerprints(10 + number), number * 0.1)
         ledger.record_process_exit(f"b{number}", number * 0.1)
-    held = ledger.blocked_until(BAD, 0.3)
-    assert held is not None
-    assert held == pytest.approx(0.2 + quarantine.MAX_JUDGEMENT_DELAY)
+    blocked_until = ledger.blocked_until(BAD, 0.3)
+    assert blocked_until is not None
+    assert blocked_until == pytest.approx(0.2 + quarantine.MAX_JUDGEMENT_DELAY)
     assert ledger.blocked_until(10, 0.3) is None
-    ledger.handle_tick(held)
-    assert ledger.blocked_until(BAD, held) is None
-    assert ledger.refused_for(BAD, held) is not None
+    ledger.handle_tick(blocked_until)
+    assert ledger.blocked_until(BAD, blocked_until) is None
+    assert ledger.refused_for(BAD, blocked_until) is not None
 
 
-def test_what_was_served_between_two_crashes_is_cleared_of_the_first() -> None:
+def test_a_request_served_between_two_crashes_is_cleared_of_the_first() -> None:
     fleet = Fleet()
     for number in range(6):
         fleet.crash({0: [BAD, OTHER]}, float(number))
         fleet.nodes[1].record_served(OTHER, number + 0.5)
-        fleet.tell(number + 0.6)
+        fleet.exchange_updates(number + 0.6)
     assert fleet.refusing(BAD, 6.0) == [True] * 3
     assert fleet.refusing(OTHER, 6.0) == [False] * 3
 
 
-def test_a_crash_that_a_known_request_explains_speaks_against_no_other() -> None:
+def test_a_crash_that_a_known_request_explains_counts_against_no_other() -> None:
     fleet = Fleet()
-    convict(fleet)
+    crash_repeatedly(fleet)
     for number in range(6):
         fleet.crash({0: [BAD], 1: [OTHER]}, 4.0 + number)
     assert fleet.refusing(OTHER, 11.0) == [False] * 3
 
 
-def test_a_lost_connection_to_a_back_end_that_goes_on_is_no_crash() -> None:
+def test_a_lost_connection_to_a_back_end_that_keeps_running_is_no_crash() -> None:
     ledger = quarantine.QuarantineLedger("n")
     for number in range(6):
         ledger.record_lost_request(f"b{number}", fingerprints(BAD), float(number))
@@ -149,26 +151,26 @@
     assert not ledger.suspects_any
 
 
-def test_a_back_end_that_ends_by_itself_leaves_nothing() -> None:
+def test_an_exit_without_lost_requests_leaves_no_evidence() -> None:
     ledger = quarantine.QuarantineLedger("n")
     ledger.record_process_exit("b", 1.0)
     assert not ledger.suspects_any
     assert ledger.version == 0
 
 
-def test_a_loss_that_is_seen_after_the_crash_was_told_counts() -> None:
+def test_a_loss_recorded_after_the_crash_was_reported_counts() -> None:
     fleet = Fleet(2)
     for number in range(3):
         name = fleet.crash({0: [OTHER + number]}, float(number))
         fleet.nodes[1].record_lost_request(name, fingerprints(BAD), number + 0.5)
-    fleet.tell(3.0)
-    fleet.judge(3.5)
+    fleet.exchange_updates(3.0)
+    fleet.evaluate(3.5)
     assert fleet.refusing(BAD, 3.5) == [True, True]
 
 
 def test_a_quarantine_ends_and_one_crash_begins_a_longer_one() -> None:
     fleet = Fleet()
-    convict(fleet)
+    crash_repeatedly(fleet)
     ended = 3.0 + quarantine.BASE_QUARANTINE_TIME + quarantine.TRIAL_SPREAD
     assert fleet.refusing(BAD, 2.5 + quarantine.BASE_QUARANTINE_TIME - 1.0) == [True] * 3
     assert fleet.refusing(BAD, ended) == [False] * 3
@@ -181,7 +183,7 @@
 
 def test_nodes_try_a_request_at_different_times_and_one_at_a_time() -> None:
     fleet = Fleet(40)
-    convict(fleet)
+    crash_repeatedly(fleet)
     opened = [
         [not refused for refused in fleet.refusing(BAD, 125.0 + step)].count(True)
         for step in range(30)
@@ -196,41 +198,41 @@
     assert ledger.refused_for(BAD, at + quarantine.TRIAL_INTERVAL) is None
 
 
-def test_a_trial_that_is_answered_ends_the_quarantine_everywhere() -> None:
+def test_a_trial_that_is_served_ends_the_quarantine_at_all_nodes() -> None:
     fleet = Fleet()
-    convict(fleet)
+    crash_repeatedly(fleet)
     at = 3.0 + quarantine.BASE_QUARANTINE_TIME + quarantine.TRIAL_SPREAD
     fleet.nodes[2].record_served(BAD, at)
-    fleet.tell(at + 0.1)
+    fleet.exchange_updates(at + 0.1)
     assert all(not node.quarantines() for node in fleet.nodes)
     fleet.crash({0: [BAD]}, at + 1.0)
     assert fleet.refusing(BAD, at + 2.0) == [False] * 3
 
 
-def test_a_node_that_has_just_started_is_told_all_of_it() -> None:
+def test_a_node_that_has_just_started_receives_all_quarantines() -> None:
     fleet = Fleet()
-    convict(fleet)
+    crash_repeatedly(fleet)
     fleet.nodes.append(quarantine.QuarantineLedger("new"))
-    fleet.tell(50.0)
+    fleet.exchange_updates(50.0)
     assert fleet.refusing(BAD, 50.0) == [True] * 4
 
 
-def test_news_is_told_once_and_not_back_to_whom_it_came_from() -> None:
+def test_updates_are_sent_once_and_not_back_to_their_source() -> None:
     fleet = Fleet(2)
     fleet.crash({1: [BAD]}, 0.0)
-    fleet.tell(1.0)
-    news, _ = fleet.nodes[0].updates_since(0, 1)
-    assert news == []
+    fleet.exchange_updates(1.0)
+    updates, _ = fleet.nodes[0].updates_since(0, 1)
+    assert updates == []
     versions = [node.version for node in fleet.nodes]
-    fleet.tell(2.0)
+    fleet.exchange_updates(2.0)
     assert [node.version for node in fleet.nodes] == versions
 
 
 def test_memory_and_messages_are_bounded_under_thousands_of_requests() -> None:
     ledger = quarantine.QuarantineLedger("n")
     for request in range(3_000):
-        for life in range(3):
-            backend = f"b{request}-{life}"
+        for incarnation in range(3):
+            backend = f"b{request}-{incarnation}"
             ledger.record_lost_request(backend, fingerprints(request), request * 0.01)
             ledger.record_process_exit(backend, request * 0.01)
         ledger.handle_tick(request * 0.01)
@@ -238,13 +240,13 @@
     assert len(ledger.quarantines()) == quarantine.MAX_QUARANTINES
     assert ledger.refused_for(2_999, 50.0) is not None
     items = 0
-    told = 0
+    known_version = 0
     while True:
-        news, told = ledger.updates_since(told, None)
-        if not news:
+        updates, known_version = ledger.updates_since(known_version, None)
+        if not updates:
             break
-        assert sum(map(quarantine._fingerprint_count, news)) <= quarantine.MOST_TOLD
-        items += len(news)
+        assert sum(map(quarantine._fingerprint_count, updates)) <= quarantine.MOST_TOLD
+        items += len(updates)
     assert items <= quarantine.MAX_QUARANTINES + crashes.MAX_CRASHES + crashes.MAX_SERVED
 
 
--- a/tests/unit/test_request_content.py
+++ b/tests/unit/test_request_content.py
@@ -1,4 +1,4 @@
-"""Which requests are the same although their ids differ."""
+"""Which requests are recognised as the same although their ids differ."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from limedeck.forwarding import request_content
 
-ASKED = request_content.RequestContent(b"POST", "h.example", b"/a/b?c=1", "127.0.0.9", b"body")
+REQUEST = request_content.RequestContent(b"POST", "h.example", b"/a/b?c=1", "127.0.0.9", b"body")
 
 
 @pytest.mark.parametrize(
@@ -24,24 +24,24 @@
         request_content.RequestContent(b"POST", "h.example", b"/a/b?c=1", "127.0.0.9b", b"ody"),
     ],
 )
-def test_a_request_that_differs_anywhere_is_another_one(
+def test_a_request_that_differs_in_any_part_has_another_fingerprint(
     other: request_content.RequestContent,
 ) -> None:
-    assert other.fingerprint != ASKED.fingerprint
+    assert other.fingerprint != REQUEST.fingerprint
 
 
-def test_the_same_request_is_known_again() -> None:
-    again = dataclasses.replace(ASKED, _fingerprints=None)
-    assert again.fingerprint == ASKED.fingerprint
+def test_the_same_request_has_the_same_fingerprint() -> None:
+    again = dataclasses.replace(REQUEST, _fingerprints=None)
+    assert again.fingerprint == REQUEST.fingerprint
     assert request_content.format_fingerprint(7) == "0000000000000007"
 
 
-def test_who_asks_for_the_same_shares_the_wider_signs() -> None:
-    """Whatever of a request ends back ends, one of its signs is shared by just those that do."""
-    other_caller = dataclasses.replace(ASKED, caller="127.0.0.8", _fingerprints=None).fingerprints
-    other_body = dataclasses.replace(ASKED, body=b"other", _fingerprints=None).fingerprints
-    other_key = dataclasses.replace(ASKED, position=7, _fingerprints=None).fingerprints
-    fingerprints = ASKED.fingerprints
+def test_requests_for_the_same_share_the_wider_fingerprints() -> None:
+    """Whichever part crashes back ends, just the requests that have it share a fingerprint."""
+    other_caller = dataclasses.replace(REQUEST, caller="127.0.0.8", _fingerprints=None).fingerprints
+    other_body = dataclasses.replace(REQUEST, body=b"other", _fingerprints=None).fingerprints
+    other_key = dataclasses.replace(REQUEST, position=7, _fingerprints=None).fingerprints
+    fingerprints = REQUEST.fingerprints
     assert (other_caller.target, other_caller.content) == (
         fingerprints.target,
         fingerprints.content,
@@ -53,7 +53,7 @@
     assert len(set(fingerprints.from_narrowest)) == 3
 
 
-def test_parts_that_are_cut_elsewhere_are_other_requests() -> None:
+def test_parts_that_are_divided_elsewhere_have_other_fingerprints() -> None:
     one = request_content.RequestContent(b"GET", "h", b"/a", "1", b"", 12)
     other = request_content.RequestContent(b"GET", "h", b"/a", "1", b"2", 1)
     assert one.fingerprints.content != other.fingerprints.content
--- a/tests/unit/test_ways_to_return.py
+++ b/tests/unit/test_ways_to_return.py
@@ -1,7 +1,7 @@
-"""When callers that a back end in need has no room for are told to come back: ways compared.
+"""Compares what callers are told to wait after a refusal by a rate-bound back end.
 
-The figures in `docs/design/limits.md` are what this module prints when it is run with `python -m`.
-A line and a fixed time are not built; they stand here as what was weighed.
+Running the module with `python -m` prints the figures in `docs/design/limits.md`. A queue and a
+fixed time are not implemented; they are here as the alternatives that were considered.
 """
 
 from __future__ import annotations
@@ -22,51 +22,51 @@
 SEEDS = (5, 6, 7)
 LIMITED_FOR = 20.0
 """Seconds until the limit is lifted."""
-WATCHED = 32.0
-COUNTED = (2.0, 18.0)
-"""Callers who come in this time are counted, in seconds."""
-PATIENCE = (0.8, 8.0)
-"""How long a caller waits for its answer, in seconds: the users' kinds of requests."""
+SIMULATED_TIME = 32.0
+COUNTED_INTERVAL = (2.0, 18.0)
+"""Callers that arrive in this interval are counted, in seconds."""
+CALLER_WAIT = (0.8, 8.0)
+"""Range of the time that a caller waits for its response, in seconds, as users' requests do."""
 OBJECTIVE = 0.2
-"""Part of that time within which an answer has its full worth."""
-RETURNS = 2
-"""A caller comes back so often, and waits as told up to a third of the time that it has left."""
-OBEYED = 1.0 / 3.0
+"""Fraction of that time within which a response has its full value."""
+MAX_RETRIES = 2
+"""Retries of a caller, which waits as told up to a third of the time that it has left."""
+MAX_OBEYED_FRACTION = 1.0 / 3.0
 SPREAD = 0.3
 ROUTE = Route("r", "host", "/", True, 60.0, 1.0, 3, 1, (Target("s", 1),))
 
 
-class Way(enum.Enum):
-    """What a caller that is turned away is told."""
+class RetryAdvice(enum.Enum):
+    """What a refused caller is told."""
 
-    BUILT = "as built"
-    LINE = "its place in the line"
+    IMPLEMENTED = "as built"
+    QUEUE = "its place in the line"
     FIXED = "a fixed time"
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of one caller's request.
+    """The outcome of one caller's request.
 
     Parameters
     ----------
-    took
-        Seconds from its first arrival to its answer; None if it was not served.
+    duration
+        Seconds from its first arrival to its response; None if it was not served.
     """
 
     tries: int
-    took: float | None
-    patience: float
+    duration: float | None
+    caller_wait: float
 
     @property
     def is_prompt(self) -> bool:
         """Whether it was answered within its objective."""
-        return self.took is not None and self.took <= OBJECTIVE * self.patience
+        return self.duration is not None and self.duration <= OBJECTIVE * self.caller_wait
 
 
 @dataclass(frozen=True)
 class Figures:
-    """Parts of all callers that were counted, and means over them; `mean` of who was served."""
+    """Fractions of all callers counted, and means over them; `mean` is over the callers served."""
 
     served: float
     prompt: float
@@ -75,27 +75,27 @@
 
 
 @dataclass
-class ReturningCallers(PermitWorld):
-    """Callers come back when they are told to, for as long as they wait.
+class RetryingCallers(PermitWorld):
+    """Callers retry when they are told to, for as long as they wait.
 
     Parameters
     ----------
-    longest
-        They are told no longer time, in seconds.
+    max_pause
+        The longest time that they are told to wait, in seconds.
     """
 
-    way: Way = Way.BUILT
-    longest: float = 1.0
+    advice: RetryAdvice = RetryAdvice.IMPLEMENTED
+    max_pause: float = 1.0
     outcomes: list[Outcome] = field(default_factory=list)
-    promised_until: float = 0.0
+    last_turn: float = 0.0
 
     def _request(self, node: SimulatedNode, request_id: bytes) -> Steps:
         first = self.env.now
-        patience = self.source.uniform(*PATIENCE)
-        deadline = first + patience
+        caller_wait = self.source.uniform(*CALLER_WAIT)
+        deadline = first + caller_wait
         tries = 0
-        took = None
-        while took is None and tries <= RETURNS:
+        duration = None
+        while duration is None and tries <= MAX_RETRIES:
             tries += 1
             now = self.env.now
             core = RequestCore(
@@ -103,27 +103,29 @@
             )
             refused = yield from self._play(node, core)
             if refused is None:
-                took = self.env.now - first
+                duration = self.env.now - first
                 break
             left = deadline - self.env.now
-            yield self.env.timeout(min(self._pause(refused), OBEYED * left))
-        if COUNTED[0] <= first < COUNTED[1]:
-            self.outcomes.append(Outcome(tries, took, patience))
+            yield self.env.timeout(min(self._pause(refused), MAX_OBEYED_FRACTION * left))
+        if COUNTED_INTERVAL[0] <= first < COUNTED_INTERVAL[1]:
+            self.outcomes.append(Outcome(tries, duration, caller_wait))
 
     def _pause(self, refused: Refuse) -> float:
-        if self.way is Way.BUILT or self.limit is None:
+        if self.advice is RetryAdvice.IMPLEMENTED or self.limit is None:
             return refused.retry_after
-        if self.way is Way.FIXED:
-            return self.longest * self.source.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+        if self.advice is RetryAdvice.FIXED:
+            return self.max_pause * self.source.uniform(1.0 - SPREAD, 1.0 + SPREAD)
         now = self.env.now
-        self.promised_until = max(self.promised_until, now) + 1.0 / self.limit
-        pause = min(self.promised_until - now, self.longest)
-        self.promised_until = now + pause
+        self.last_turn = max(self.last_turn, now) + 1.0 / self.limit
+        pause = min(self.last_turn - now, self.max_pause)
+        self.last_turn = now + pause
         return pause + self.source.uniform(0.0, SPREAD)
 
 
-def outcomes_of(seed: int, way: Way, longest: float, rate: float) -> list[Outcome]:
-    world = ReturningCallers(seed, NODES, rate, LIMIT, way=way, longest=longest)
+def simulate_outcomes(
+    seed: int, advice: RetryAdvice, max_pause: float, rate: float
+) -> list[Outcome]:
+    world = RetryingCallers(seed, NODES, rate, LIMIT, advice=advice, max_pause=max_pause)
     world.elect(world.nodes)
 
     def lift() -> Steps:
@@ -131,13 +133,13 @@
         world.limit = None
 
     world.env.process(lift())
-    world.env.run(until=WATCHED)
+    world.env.run(until=SIMULATED_TIME)
     return world.outcomes
 
 
-def figures(way: Way, longest: float, rate: float) -> Figures:
-    found = [item for seed in SEEDS for item in outcomes_of(seed, way, longest, rate)]
-    times = [item.took for item in found if item.took is not None]
+def figures(advice: RetryAdvice, max_pause: float, rate: float) -> Figures:
+    found = [item for seed in SEEDS for item in simulate_outcomes(seed, advice, max_pause, rate)]
+    times = [item.duration for item in found if item.duration is not None]
     return Figures(
         len(times) / len(found),
         sum(item.is_prompt for item in found) / len(found),
@@ -147,28 +149,35 @@
 
 
 @pytest.mark.parametrize("rate", [6.0, 12.0])
-@pytest.mark.parametrize(("way", "longest"), [(Way.LINE, 4.0), (Way.FIXED, 4.0)])
-def test_more_callers_are_answered_in_time_than_by_a_line(
-    way: Way, longest: float, rate: float
+@pytest.mark.parametrize(
+    ("advice", "max_pause"), [(RetryAdvice.QUEUE, 4.0), (RetryAdvice.FIXED, 4.0)]
+)
+def test_more_callers_are_answered_in_time_than_by_the_alternatives(
+    advice: RetryAdvice, max_pause: float, rate: float
 ) -> None:
-    assert figures(Way.BUILT, 1.0, rate).prompt >= figures(way, longest, rate).prompt
+    assert (
+        figures(RetryAdvice.IMPLEMENTED, 1.0, rate).prompt
+        >= figures(advice, max_pause, rate).prompt
+    )
 
 
-def test_the_same_callers_come_each_time() -> None:
-    assert outcomes_of(5, Way.BUILT, 1.0, 6.0) == outcomes_of(5, Way.BUILT, 1.0, 6.0)
+def test_the_simulation_is_deterministic() -> None:
+    assert simulate_outcomes(5, RetryAdvice.IMPLEMENTED, 1.0, 6.0) == simulate_outcomes(
+        5, RetryAdvice.IMPLEMENTED, 1.0, 6.0
+    )
 
 
 def main() -> None:
     """Print the comparison."""
     for rate in (6.0, 12.0, 60.0):
-        for way, longest in (
-            (Way.BUILT, 1.0),
-            (Way.LINE, 1.0),
-            (Way.LINE, 4.0),
-            (Way.FIXED, 2.0),
-            (Way.FIXED, 4.0),
+        for advice, max_pause in (
+            (RetryAdvice.IMPLEMENTED, 1.0),
+            (RetryAdvice.QUEUE, 1.0),
+            (RetryAdvice.QUEUE, 4.0),
+            (RetryAdvice.FIXED, 2.0),
+            (RetryAdvice.FIXED, 4.0),
         ):
-            print(rate, way.value, longest, figures(way, longest, rate))
+            print(rate, advice.value, max_pause, figures(advice, max_pause, rate))
 
 
 if __name__ == "__main__":
