--- a/src/limedeck/forwarding/crashes.py
+++ b/src/limedeck/forwarding/crashes.py
@@ -206,10 +206,12 @@
         settled
             Later crashes are left out, since it is not known yet what other nodes lost in them.
         """
-        judged = [item for item in self._crashes.values() if item.at <= settled and item.suspects]
-        candidates = [_unexplained(crash, known) for crash in judged]
+        settled_crashes = [
+            item for item in self._crashes.values() if item.at <= settled and item.suspects
+        ]
+        candidates = [_unexplained(crash, known) for crash in settled_crashes]
         times: defaultdict[int, list[Seconds]] = defaultdict(list)
-        for crash, fingerprints in zip(judged, candidates, strict=True):
+        for crash, fingerprints in zip(settled_crashes, candidates, strict=True):
             for fingerprint in fingerprints:
                 times[fingerprint].append(crash.at)
         weights = {
@@ -217,7 +219,7 @@
         }
         attributed: defaultdict[int, list[Seconds]] = defaultdict(list)
         unexplained: set[int] = set()
-        for crash, fingerprints in zip(judged, candidates, strict=True):
+        for crash, fingerprints in zip(settled_crashes, candidates, strict=True):
             for fingerprint in _attributed_to(crash, fingerprints, weights):
                 attributed[fingerprint].append(crash.at)
                 if crash.suspects.isdisjoint(known):
