--- a/src/limedeck/node/backend_loads.py
+++ b/src/limedeck/node/backend_loads.py
@@ -1,4 +1,4 @@
-"""Messages about what back ends have, between nodes and the leader."""
+"""Messages between nodes and the leader about the load of back ends."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 MICROSECONDS = 1e6
 MILLISECONDS = 1000.0
-COLUMNS = 2
-"""Bytes for each back end in the totals."""
-LARGEST_BYTE = 255
-SHORTEST_TIME: Seconds = 0.001
-"""Service time that is written as 1; shorter ones are written as this one."""
-TIME_STEP = 1.05
-"""Ratio of two neighbouring service times as written; 255 stands for some four minutes."""
-MARKS_KEPT = 4096
-"""Hashes that are remembered: more than the back ends of a large site."""
-
-
-@functools.lru_cache(maxsize=MARKS_KEPT)
+BYTES_PER_BACKEND = 2
+"""Bytes for each back end in the columns of the totals."""
+MAX_BYTE = 255
+MIN_SERVICE_TIME: Seconds = 0.001
+"""Service time that is encoded as 1; shorter ones are encoded as this one."""
+SERVICE_TIME_RATIO = 1.05
+"""Ratio of two neighbouring codes' service times; code 255 stands for some four minutes."""
+HASH_CACHE_SIZE = 4096
+"""Number of hashes that are cached: more than the back ends of a large site."""
+
+
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def backend_hash(backend_id: str) -> int:
-    """Return the hash by which messages name a back end."""
+    """Return the hash that identifies a back end in messages."""
     return xxhash.xxh32_intdigest(backend_id.encode())
 
 
 def known_service_times(directory: backends.BackendDirectory) -> dict[int, Seconds]:
-    """Return the service times that this node believes, by hash of the back end's id."""
+    """Return the service times that this node assumes, by hash of the back end's id."""
     return {
         backend_hash(state.backend.backend_id): state.service_time
         for state in directory.all_states()
@@ -45,7 +45,7 @@
 
 
 def write_report(directory: backends.BackendDirectory, now: Seconds) -> control_pb2.BackendLoads:
-    """Write what this node has to tell the leader since the last report."""
+    """Write a report of this node's load at back ends since the last report."""
     message = control_pb2.BackendLoads()
     backoffs = dict(directory.backoffs.active(now))
     for state in directory.all_states():
@@ -66,7 +66,7 @@
 
 
 def read_report(message: control_pb2.BackendLoads) -> list[fleet_load.BackendReport]:
-    """Read what a node tells.
+    """Read a node's report.
 
     Raises
     ------
@@ -83,64 +83,64 @@
         message.backoffs or [0] * len(message.backends),
     )
     if len({len(column) for column in columns}) > 1:
-        raise PeerProtocolError("back ends' loads", "lists of unequal length")
+        raise PeerProtocolError("loads of back ends", "lists of unequal length")
     return [
         fleet_load.BackendReport(
-            mark, outstanding, answers, micros / MICROSECONDS, failures, remaining / MILLISECONDS
+            backend, outstanding, answers, micros / MICROSECONDS, failures, remaining / MILLISECONDS
         )
-        for mark, outstanding, answers, micros, failures, remaining in zip(*columns, strict=True)
+        for backend, outstanding, answers, micros, failures, remaining in zip(*columns, strict=True)
     ]
 
 
 class TotalsWriter:
-    """What the leader tells all nodes, written once for all of them."""
+    """Writes the totals that the leader sends, once for all nodes."""
 
     def __init__(self) -> None:
-        self._marks: tuple[int, ...] = ()
+        self._hashes: tuple[int, ...] = ()
         self._columns = b""
         self._excluded: list[int] = []
         self._listing = 0
         self.sequence = 0
 
     def write(self, totals: Sequence[fleet_load.BackendTotal]) -> None:
-        """Take in new totals; `sequence` rises."""
-        marks = tuple(total.backend for total in totals)
-        if marks != self._marks:
-            self._marks = marks
+        """Encode new totals, and increase `sequence`."""
+        hashes = tuple(total.backend for total in totals)
+        if hashes != self._hashes:
+            self._hashes = hashes
             self._listing += 1
-        outstanding = bytes(min(total.outstanding, LARGEST_BYTE) for total in totals)
-        service_times = bytes(_time_code(total.service_time) for total in totals)
+        outstanding = bytes(min(total.outstanding, MAX_BYTE) for total in totals)
+        service_times = bytes(_encode_service_time(total.service_time) for total in totals)
         self._columns = zlib.compress(outstanding + service_times)
         self._excluded = [index for index, total in enumerate(totals) if total.excluded]
         self.sequence += 1
 
-    def message_for(self, told: ToldTotals) -> control_pb2.BackendTotals | None:
-        """Write what a node lacks, and note that it was told; None if it lacks nothing."""
-        if told.sequence == self.sequence:
+    def message_for(self, sent: SentTotals) -> control_pb2.BackendTotals | None:
+        """Return the totals that a node lacks and record them in `sent`; None if it lacks none."""
+        if sent.sequence == self.sequence:
             return None
         message = control_pb2.BackendTotals(
             listing=self._listing, columns=self._columns, excluded=self._excluded
         )
-        if told.listing != self._listing:
-            message.backends.extend(self._marks)
-        told.sequence = self.sequence
-        told.listing = self._listing
+        if sent.listing != self._listing:
+            message.backends.extend(self._hashes)
+        sent.sequence = self.sequence
+        sent.listing = self._listing
         return message
 
 
 @dataclasses.dataclass(slots=True)
-class ToldTotals:
-    """What was told on one connection; zeros if nothing yet."""
+class SentTotals:
+    """Versions of the totals last sent on one connection; zeros if none were."""
 
     sequence: int = 0
     listing: int = 0
 
 
 class TotalsReader:
-    """What a node was told by the leader on one connection."""
+    """Reads the totals that the leader sends on one connection."""
 
     def __init__(self) -> None:
-        self._marks: Sequence[int] = ()
+        self._hashes: Sequence[int] = ()
         self._listing = 0
 
     def read(self, message: control_pb2.BackendTotals) -> list[fleet_load.BackendTotal]:
@@ -152,43 +152,49 @@
             The message does not fit the list of back ends that it names.
         """
         if message.backends:
-            self._marks = tuple(message.backends)
+            self._hashes = tuple(message.backends)
             self._listing = message.listing
         if message.listing != self._listing:
-            raise PeerProtocolError("totals of back ends", "a list that was not told")
-        count = len(self._marks)
+            raise PeerProtocolError("totals of back ends", "unknown list of back ends")
+        count = len(self._hashes)
         try:
-            columns = zlib.decompressobj().decompress(message.columns, COLUMNS * count + 1)
+            columns = zlib.decompressobj().decompress(
+                message.columns, BYTES_PER_BACKEND * count + 1
+            )
         except zlib.error as exc:
             raise PeerProtocolError("totals of back ends", str(exc)) from exc
-        if len(columns) != COLUMNS * count:
-            raise PeerProtocolError("totals of back ends", "lists of unequal length")
-        rows = zip(self._marks, columns[:count], columns[count:], strict=True)
+        if len(columns) != BYTES_PER_BACKEND * count:
+            raise PeerProtocolError(
+                "totals of back ends", "columns do not fit the list of back ends"
+            )
+        rows = zip(self._hashes, columns[:count], columns[count:], strict=True)
         excluded = set(message.excluded)
         return [
-            fleet_load.BackendTotal(mark, outstanding, _time_of(code), index in excluded)
-            for index, (mark, outstanding, code) in enumerate(rows)
+            fleet_load.BackendTotal(
+                backend, outstanding, _decode_service_time(code), index in excluded
+            )
+            for index, (backend, outstanding, code) in enumerate(rows)
         ]
 
 
 def apply_totals(
     totals: Iterable[fleet_load.BackendTotal], directory: backends.BackendDirectory, now: Seconds
 ) -> None:
-    """Let a node believe what the leader tells; back ends that it does not list are passed over."""
-    marks = {backend_hash(state.backend.backend_id): state for state in directory.all_states()}
+    """Apply the leader's totals to a node's directory, skipping back ends that it does not list."""
+    states = {backend_hash(state.backend.backend_id): state for state in directory.all_states()}
     for total in totals:
-        state = marks.get(total.backend)
+        state = states.get(total.backend)
         if state is not None:
             state.record_fleet_load(total.outstanding, total.service_time, now, total.excluded)
 
 
-def _time_code(time: Seconds) -> int:
-    """Write a time as one byte; zero stands for an unknown one."""
+def _encode_service_time(time: Seconds) -> int:
+    """Encode a service time as one byte; zero stands for an unknown one."""
     if time <= 0.0:
         return 0
-    steps = round(math.log(time / SHORTEST_TIME, TIME_STEP))
-    return min(max(steps + 1, 1), LARGEST_BYTE)
+    steps = round(math.log(time / MIN_SERVICE_TIME, SERVICE_TIME_RATIO))
+    return min(max(steps + 1, 1), MAX_BYTE)
 
 
-def _time_of(code: int) -> Seconds:
-    return SHORTEST_TIME * TIME_STEP ** (code - 1) if code else 0.0
+def _decode_service_time(code: int) -> Seconds:
+    return MIN_SERVICE_TIME * SERVICE_TIME_RATIO ** (code - 1) if code else 0.0
--- a/src/limedeck/node/connection_updates.py
+++ b/src/limedeck/node/connection_updates.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other besides the store's tables and loads, on one connection."""
+"""Exchange of updates on one connection, apart from tables of the store and loads."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
         return any(peer.has_updates for peer in self._statement_peers)
 
     def fill(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
-        """Add what the other node lacks."""
+        """Add the crashes and statements that the other node lacks."""
         self.crashes.fill(message, now)
         for peer in self._statement_peers:
             peer.fill(message, now)
 
     def apply(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
-        """Take in what the other node tells."""
+        """Record the crashes and statements that the other node sent."""
         self.crashes.apply(message.crash_news, now)
         for peer in self._statement_peers:
             peer.apply(message, now)
--- a/src/limedeck/node/control.py
+++ b/src/limedeck/node/control.py
@@ -1,4 +1,4 @@
-"""Drives election and ownership: carries out their commands, feeds back what came of them."""
+"""Drives election and ownership: executes their commands and passes the results back to them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from limedeck.identity import NEVER, Seconds
 from limedeck.node import load_exchange, order_sender, permit_exchange
 from limedeck.node.connection_updates import ConnectionUpdates
-from limedeck.node.election_calls import LEADER_ROW, ElectionCalls, decoded
+from limedeck.node.election_calls import LEADER_ROW, ElectionCalls, decode_record
 from limedeck.node.logs import get_logger
 from limedeck.node.owner_changes import PublishedOwners, read_owners
 from limedeck.node.state import NodeState
@@ -48,32 +48,32 @@
 )
 
 ASSIGNMENT_TABLE = "limedeck_assignment"
-TICK: Seconds = 0.05
-"""Between two looks at what is due: a tenth of the interval of renewals."""
+TICK_INTERVAL: Seconds = 0.05
+"""Interval between checks for due work: a tenth of the renewal interval."""
 BALANCE_LOG_INTERVAL: Seconds = 1.0
-"""Between two log lines of one service; on-call reads them by the second."""
-LOGGED_USES = 12
-"""The most used back ends that a log line names."""
-RECORD_RETRY: Seconds = 0.1
-"""Keys wait for the record meanwhile, and a call costs the store little; an estimate."""
-STORE_HEARD: Seconds = 1.0
-"""The store has confirmed the leader within so long: a move of keys will be recorded soon. Above
-the interval of confirmations."""
+"""Interval between `balance` log lines of one service; on-call reads them by the second."""
+MAX_LOGGED_BACKENDS = 12
+"""Number of back ends, those with the highest use, that a `balance` log line names."""
+RECORD_RETRY_DELAY: Seconds = 0.1
+"""Short, because keys wait for the record meanwhile and a call costs the store little."""
+MAX_STORE_SILENCE: Seconds = 1.0
+"""Planned moves of keys require that the store has confirmed the leader within this time, since the
+move will then be recorded soon. Above the interval of confirmations."""
 OWN_LOADS_INTERVAL: Seconds = 0.5
-"""As often as other nodes report requests by key."""
+"""The leader counts its own requests by key as often as other nodes report theirs."""
 VERSION_BITS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class _OwnedService:
-    """A service that this node leads, in one term."""
+    """A service whose ownership this node manages as leader, in one term."""
 
     term: int
     core: ServiceOwnership
 
 
 class ControlHost:
-    """One node's control: follows the leader, or leads.
+    """A node's part in the control of the fleet: as the leader or as a follower.
 
     Parameters
     ----------
@@ -82,7 +82,7 @@
     processor
         Cores that this node may use.
     first_start
-        The whole system starts for the first time.
+        Whether the whole system starts for the first time.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._log = get_logger("control")
         self._next_own_loads: Seconds = 0.0
         self._next_balance_log: dict[str, Seconds] = {}
-        self._longest_delay: Seconds = 0.0
+        self._max_tick_delay: Seconds = 0.0
         self._tasks: TaskGroup | None = None
 
     @property
@@ -140,20 +140,20 @@
 
     @property
     def quarantine(self) -> QuarantineLedger:
-        """This node's ledger of requests that end back ends."""
+        """This node's ledger of requests that crash back ends."""
         return self._state.quarantine
 
-    def connection_news(self) -> ConnectionUpdates:
-        """What is to be told on a new connection to another node."""
+    def connection_updates(self) -> ConnectionUpdates:
+        """Return the exchange of updates for a new connection to another node."""
         return ConnectionUpdates(self._state.quarantine, self._state.directory)
 
     @property
     def store_offset(self) -> Seconds:
-        """The store's clock less this node's."""
+        """The store's clock minus this node's clock."""
         return self._calls.store_offset
 
     def leader_condition(self) -> RowCondition:
-        """What holds in the store as long as this node leads."""
+        """Return a condition that holds in the store as long as this node leads."""
         return RowCondition(LEADER_ROW, self.election.row_version)
 
     async def run(self) -> None:
@@ -161,13 +161,13 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             while True:
-                due = steady_clock() + TICK
+                due = steady_clock() + TICK_INTERVAL
                 self._tick(steady_clock())
-                await anyio.sleep(TICK)
-                self._longest_delay = max(self._longest_delay, steady_clock() - due)
+                await anyio.sleep(TICK_INTERVAL)
+                self._max_tick_delay = max(self._max_tick_delay, steady_clock() - due)
 
     def status(self) -> Status:
-        """What this node tells those that follow it, without any owners."""
+        """Return this node's status for the nodes that follow it, without owners."""
         now = steady_clock()
         silence = self.election.store_silence(now) if self.leads else 0.0
         record = self.election.record if not self.leads else None
@@ -186,12 +186,12 @@
             leader_row_version=self.election.row_version if record is not None else 0,
         )
 
-    def owners_since(self, told: dict[str, OwnerMap]) -> list[ServiceOwners]:
-        """What a node lacks of the owners of services that this node leads; `told` is updated."""
-        return self._owners.since(told) if self.leads else []
+    def owners_since(self, sent: dict[str, OwnerMap]) -> list[ServiceOwners]:
+        """Return the owners that a node lacks and add them to `sent`; none if this node follows."""
+        return self._owners.updates_since(sent) if self.leads else []
 
     def handle_status(self, status: Status, leader: LeaderRecord) -> None:
-        """The leader, or a node that was taken for it, was heard."""
+        """Handle a status from the leader, or from a node that was taken for the leader."""
         now = steady_clock()
         if not status.leads:
             self.election.handle_denial(leader.term, status.incarnation, status.resigned)
@@ -214,16 +214,16 @@
                 self._state.set_owners(owners.service, read_owners(owners, known, clock_lead))
 
     def resign(self) -> None:
-        """Lead no more, and tell all that follow this node: its process is about to stop."""
+        """Resign leadership and notify all followers, because this process is about to stop."""
         self.election.resign()
         self.on_leader()
 
     def take_loads(self) -> list[ServiceLoad]:
-        """What this node has to tell the leader of its requests."""
+        """Return this node's request counts by key since the last call, for the leader."""
         return self._state.take_loads()
 
     def handle_loads(self, loads: Iterable[ServiceLoad]) -> None:
-        """A node told what it counted."""
+        """Record the request counts by key that a node reported."""
         now = steady_clock()
         for load in loads:
             owned = self._services.get(load.service)
@@ -232,12 +232,12 @@
             owned.core.record_requests(((item.position, item.count) for item in load.keys), now)
 
     def handle_report_term(self, term: int) -> None:
-        """Another node told which term it knows."""
+        """Handle the term that another node reported; a later one ends this node's leadership."""
         self.election.handle_superseded(term)
 
     def _handle_statement(self) -> None:
         """Send statements immediately; nodes keep sending requests until they receive one."""
-        self.permits.news.give()
+        self.permits.notifier.give()
         self.on_statements()
 
     # ------------------------------------------------------------------ ticking
@@ -245,10 +245,10 @@
     def _tick(self, now: Seconds) -> None:
         command = self.election.handle_tick(now)
         if command is not None:
-            self._start(self._calls.carry_out, command)
+            self._start(self._calls.execute, command)
         self.permits.handle_tick(now)
         if not self.leads:
-            self._leave_office()
+            self._end_leadership()
             return
         node_count = self.fleet().node_count
         self._state.note_leader(self.election.store_silence(now), node_count, now)
@@ -260,12 +260,12 @@
             self.handle_loads(self._state.take_loads())
         may_renew = self.election.may_renew(now)
         may_yield = self.election.may_yield(now) and node_count > 1
-        may_move = self.election.store_silence(now) < STORE_HEARD
+        may_move = self.election.store_silence(now) < MAX_STORE_SILENCE
         for name, owned in list(self._services.items()):
             if not self.election.former_leaders():
                 owned.core.handle_former_leaders_ended(now)
             for order in owned.core.handle_tick(may_renew, now, may_yield, may_move):
-                self._start(self._run_ownership, name, owned, order)
+                self._start(self._execute_command, name, owned, order)
             self._log_changes(name, owned.core)
             self._log_balance(name, owned.core, now)
             self._publish(name, owned, now)
@@ -273,21 +273,21 @@
                 self._log.warning("fenced_off", service=name, term=owned.term)
                 self.election.step_down()
             elif owned.core.doubts_itself:
-                self._yield_office(name, owned, now)
+                self._yield_leadership(name, owned, now)
         self._telemetry.leads.set(1)
 
-    def _yield_office(self, name: str, owned: _OwnedService, now: Seconds) -> None:
-        """Let another node lead, and tell all that follow this one."""
+    def _yield_leadership(self, name: str, owned: _OwnedService, now: Seconds) -> None:
+        """Let another node lead, and notify all followers of this one."""
         self._log.warning("leadership_yielded", service=name, term=owned.term)
         self.election.yield_leadership(now)
         self.on_leader()
 
-    def _leave_office(self) -> None:
+    def _end_leadership(self) -> None:
         if self._services:
             self._log.info("leadership_ended", term=self.election.term)
             self._services.clear()
             self._owners.clear()
-            self.loads.end()
+            self.loads.clear()
             self._telemetry.leads.set(0)
 
     def _open_services(self) -> None:
@@ -300,7 +300,7 @@
                 self._start(self._open_service, view.name, term)
 
     def _refresh_listing(self, now: Seconds) -> None:
-        may_move = self.election.store_silence(now) < STORE_HEARD
+        may_move = self.election.store_silence(now) < MAX_STORE_SILENCE
         for name, owned in self._services.items():
             listed = self._state.directory.owner_candidates(name, now, may_move)
             owned.core.set_backends(listed, now)
@@ -347,10 +347,10 @@
             service_time=round(core.typical_service_time(), 4),
             owners=len(core.uses),
             unheard=core.unresponsive_owners(now),
-            tick_delay=round(self._longest_delay, 3),
-            uses={backend_id: round(use, 2) for backend_id, use in by_use[:LOGGED_USES]},
+            tick_delay=round(self._max_tick_delay, 3),
+            uses={backend_id: round(use, 2) for backend_id, use in by_use[:MAX_LOGGED_BACKENDS]},
         )
-        self._longest_delay = 0.0
+        self._max_tick_delay = 0.0
 
     def _log_changes(self, name: str, core: ServiceOwnership) -> None:
         for change in core.changes:
@@ -375,19 +375,19 @@
     # ------------------------------------------------------------------ ownership
 
     async def _open_service(self, name: str, term: int) -> None:
-        """Read a service's record and take it over."""
+        """Read a service's assignment record and take the service over."""
         try:
             found = await self._store.read(ASSIGNMENT_TABLE, "")
         except StoreError as error:
             self._log.info("record_not_read", service=name, problem=str(error))
-            await anyio.sleep(RECORD_RETRY)
+            await anyio.sleep(RECORD_RETRY_DELAY)
             self._opening.discard(name)
             return
         self._opening.discard(name)
         if not self.leads or self.election.term != term:
             return
         row = next((row for row in found.rows if row.key == name), None)
-        record = _parsed(row)
+        record = _parse_assignment(row)
         core = ServiceOwnership(
             name,
             self._key_positions,
@@ -402,7 +402,7 @@
             "service_opened", service=name, term=term, ranges=len(record.ranges) if record else 0
         )
 
-    async def _run_ownership(
+    async def _execute_command(
         self, name: str, owned: _OwnedService, command: OwnershipCommand
     ) -> None:
         if isinstance(command, SendGrant):
@@ -413,7 +413,10 @@
             await self._write_record(name, owned, command)
 
     async def _write_record(self, name: str, owned: _OwnedService, command: WriteRecord) -> None:
-        """Write until the store answers: then an earlier write is either done or dead."""
+        """Retry the write until the store responds.
+
+        An earlier attempt has then either taken effect or cannot do so any more.
+        """
         row = RowKey(ASSIGNMENT_TABLE, "", name)
         conditions = [
             RowCondition(LEADER_ROW, self.election.row_version),
@@ -426,15 +429,17 @@
             except ConditionFailed as error:
                 found = next((item for item in error.rows if item.key == name), None)
                 self._log.info("record_conflict", service=name)
-                owned.core.handle_record_conflict(_parsed(found), found.version if found else 0)
+                owned.core.handle_record_conflict(
+                    _parse_assignment(found), found.version if found else 0
+                )
                 return
             except StoreError as error:
                 self._log.info("record_not_written", service=name, problem=str(error))
-                await anyio.sleep(RECORD_RETRY)
+                await anyio.sleep(RECORD_RETRY_DELAY)
                 continue
             owned.core.handle_record_written(written.version)
             return
 
 
-def _parsed(row: StoredRow | None) -> AssignmentRecord | None:
-    return decoded(row, AssignmentRecord) if row is not None else None
+def _parse_assignment(row: StoredRow | None) -> AssignmentRecord | None:
+    return decode_record(row, AssignmentRecord) if row is not None else None
--- a/src/limedeck/node/election_calls.py
+++ b/src/limedeck/node/election_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store by which a leader is elected, confirmed and found."""
+"""Calls to the store that elect, confirm and read the leader."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 
 
 class ElectionCalls:
-    """Carries out the election's commands.
+    """Executes the election's commands.
 
     Attributes
     ----------
     store_offset
-        The store's clock less this node's, in seconds.
+        The store's clock minus this node's clock, in seconds.
     on_store_back
-        Called when the store answers after calls without an answer.
+        Called when the store responds after calls that failed.
     on_leader
-        Called when a later leader was read of.
+        Called when the store names a leader of a later term.
     """
 
     def __init__(self, election: ElectionCore, store: RowStore, telemetry: Telemetry) -> None:
@@ -57,11 +57,11 @@
         self._election = election
         self._store = store
         self._telemetry = telemetry
-        self._store_missed = False
+        self._store_failed = False
         self._log = get_logger("control")
 
-    async def carry_out(self, command: ElectionCommand) -> None:
-        """Make the call, and tell the election what came of it."""
+    async def execute(self, command: ElectionCommand) -> None:
+        """Make the call, and pass the result to the election."""
         try:
             match command:
                 case ReadLeader():
@@ -73,25 +73,25 @@
         except StoreError as error:
             self._log.info("election_call_failed", problem=str(error))
             self._election.handle_store_failure(steady_clock())
-            self._store_missed = True
+            self._store_failed = True
             return
-        if self._store_missed:
-            self._store_missed = False
+        if self._store_failed:
+            self._store_failed = False
             self.on_store_back()
 
     async def _read_leader(self, command: ReadLeader) -> None:
         found = await self._store.read(LEADER_ROW.table, LEADER_ROW.part)
-        seen = _leader_seen(found.rows, found.store_time)
-        self._note_store_time(found.store_time)
+        result = _leader_read_result(found.rows, found.store_time)
+        self._record_store_time(found.store_time)
         self._log.info(
             "leader_read",
             why=command.why.value,
-            term=seen.record.term if seen.record else 0,
-            leader=seen.record.node_id if seen.record else "",
-            confirmation_age=seen.confirmation_age,
+            term=result.record.term if result.record else 0,
+            leader=result.record.node_id if result.record else "",
+            confirmation_age=result.confirmation_age,
         )
         known = self._election.term
-        self._election.handle_leader_read(seen, steady_clock())
+        self._election.handle_leader_read(result, steady_clock())
         self._telemetry.term.set(self._election.term)
         if self._election.term > known:
             self.on_leader()
@@ -102,10 +102,10 @@
         try:
             written = await self._store.transact([condition], [write])
         except ConditionFailed as error:
-            self._election.handle_leader_read(_leader_seen(error.rows, 0.0), steady_clock())
+            self._election.handle_leader_read(_leader_read_result(error.rows, 0.0), steady_clock())
             return
         self._log.info("elected", term=command.record.term, why=command.why.value)
-        self._note_store_time(written.store_time)
+        self._record_store_time(written.store_time)
         self._election.handle_elected(command.record, written.version, steady_clock())
         self._telemetry.term.set(self._election.term)
 
@@ -119,38 +119,38 @@
         try:
             written = await self._store.transact([condition], [write])
         except ConditionFailed as error:
-            self._election.handle_leader_read(_leader_seen(error.rows, 0.0), steady_clock())
+            self._election.handle_leader_read(_leader_read_result(error.rows, 0.0), steady_clock())
             return
-        self._note_store_time(written.store_time)
+        self._record_store_time(written.store_time)
         self._election.handle_confirmed(sent_at)
 
-    def _note_store_time(self, store_time: Seconds) -> None:
+    def _record_store_time(self, store_time: Seconds) -> None:
         self.store_offset = store_time - steady_clock()
 
 
-def _leader_seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
+def _leader_read_result(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
     record = None
     version = ABSENT
     age = None
     for row in rows:
         if row.key == LEADER_ROW.key:
-            record = decoded(row, LeaderRecord)
+            record = decode_record(row, LeaderRecord)
             version = row.version
     for row in rows:
         if row.key == CONFIRMATION_ROW.key and record is not None:
-            confirmation = decoded(row, LeaderConfirmation)
+            confirmation = decode_record(row, LeaderConfirmation)
             if confirmation.term == record.term:
                 age = store_time - confirmation.confirmed_at
     return LeaderReadResult(record, version, age)
 
 
-def decoded(row: StoredRow, kind: type[Record]) -> Record:
-    """Read a row that nodes of this kind have written.
+def decode_record(row: StoredRow, kind: type[Record]) -> Record:
+    """Decode a record that a node has written to a row.
 
     Raises
     ------
     PlatformProtocolError
-        It does not hold such a record.
+        The row does not hold such a record.
     """
     try:
         return kind.FromString(row.value)
--- a/src/limedeck/node/former_leader_inquiry.py
+++ b/src/limedeck/node/former_leader_inquiry.py
@@ -1,4 +1,4 @@
-"""Asks leaders of earlier terms whether they still lead."""
+"""Queries leaders of earlier terms whether they still lead."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from limedeck.node.framing import FrameReader, encode_frame
 from limedeck.node.logs import get_logger
 
-INQUIRY_PAUSE: Seconds = 0.2
-"""Keys of silent owners wait for the answer; an estimate."""
+INQUIRY_INTERVAL: Seconds = 0.2
+"""Pause between rounds; short, since keys of unresponsive owners wait for the responses."""
 INQUIRY_TIMEOUT: Seconds = 0.8
-"""Above `CONNECT_TIMEOUT`; a former leader that is cut off answers nothing."""
+"""Above `CONNECT_TIMEOUT`; a former leader that is cut off does not respond."""
 
 
 class FormerLeaderInquiry:
-    """Asks leaders of earlier terms whether they still lead, while this node leads."""
+    """Queries leaders of earlier terms whether they still lead, while this node leads."""
 
     def __init__(self, identity: LeaderRecord, control: ControlHost) -> None:
         self._identity = identity
@@ -26,17 +26,17 @@
         self._log = get_logger("peers")
 
     async def run(self) -> None:
-        """Ask until each has answered, for as long as this node leads; until cancelled."""
+        """Query each former leader until it responds, while this node leads; until cancelled."""
         while True:
             for former in self._control.election.former_leaders():
                 try:
-                    await self._ask(former)
+                    await self._inquire(former)
                 except ENDED as error:
                     problem = type(error).__name__
                     self._log.info("former_leader_silent", node=former.node_id, problem=problem)
-            await anyio.sleep(INQUIRY_PAUSE)
+            await anyio.sleep(INQUIRY_INTERVAL)
 
-    async def _ask(self, former: FormerLeader) -> None:
+    async def _inquire(self, former: FormerLeader) -> None:
         host, _, port = former.peer_address.rpartition(":")
         own_host = self._identity.peer_address.rpartition(":")[0]
         report = Report(
--- a/src/limedeck/node/framing.py
+++ b/src/limedeck/node/framing.py
@@ -1,4 +1,4 @@
-"""Messages between nodes as frames on a byte stream: four bytes of length, then the message."""
+"""Framing of messages between nodes: a length of four bytes, then the message."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from limedeck.errors import PeerProtocolError
 
-LENGTH = struct.Struct(">I")
-LARGEST_FRAME = 32 * 1024 * 1024
+LENGTH_HEADER = struct.Struct(">I")
+MAX_FRAME_SIZE = 32 * 1024 * 1024
 Framed = TypeVar("Framed", bound=Message)
 
 
 def encode_frame(message: Message) -> bytes:
     """Write a message as one frame."""
     body = message.SerializeToString()
-    return LENGTH.pack(len(body)) + body
+    return LENGTH_HEADER.pack(len(body)) + body
 
 
 class FrameReader(Generic[Framed]):
@@ -39,12 +39,14 @@
         anyio.IncompleteRead, anyio.EndOfStream, anyio.BrokenResourceError
             The stream has ended.
         """
-        header = await self._stream.receive_exactly(LENGTH.size)
-        (length,) = LENGTH.unpack(header)
-        if length > LARGEST_FRAME:
-            raise PeerProtocolError(f"a frame of {length} bytes is above {LARGEST_FRAME}")
+        header = await self._stream.receive_exactly(LENGTH_HEADER.size)
+        (length,) = LENGTH_HEADER.unpack(header)
+        if length > MAX_FRAME_SIZE:
+            raise PeerProtocolError(
+                f"frame of {length} bytes exceeds the limit of {MAX_FRAME_SIZE} bytes"
+            )
         body = await self._stream.receive_exactly(length)
         try:
-            return self._message_type.FromString(body), length + LENGTH.size
+            return self._message_type.FromString(body), length + LENGTH_HEADER.size
         except DecodeError as error:
-            raise PeerProtocolError("a frame does not hold a message") from error
+            raise PeerProtocolError("frame does not contain a valid message") from error
--- a/src/limedeck/node/instrumented_store.py
+++ b/src/limedeck/node/instrumented_store.py
@@ -1,4 +1,4 @@
-"""Counts calls to the store by kind, table and result, since every call costs something."""
+"""Counts calls to the store by kind, table and result, since every call has a cost."""
 
 from __future__ import annotations
 
--- a/src/limedeck/node/leader_link.py
+++ b/src/limedeck/node/leader_link.py
@@ -1,4 +1,4 @@
-"""A node's connection to the leader, on which each tells the other what is new."""
+"""A node's connection to the leader, on which both send each other updates."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from limedeck.node.table_exchange import PeerTables, TableExchange
 from limedeck.store.feeds import FeedPolicy
 
-LEADER_HEARD: Seconds = 0.9
-"""A leader tells something at least each 0.3 s; one that missed two is taken for lost."""
+MAX_LEADER_SILENCE: Seconds = 0.9
+"""A leader sends a status at least every 0.3 s; one that missed two is taken for lost."""
 REPORT_INTERVAL: Seconds = 0.25
-"""Back ends' loads are known so late; a shorter one costs bytes between zones."""
+"""Delay with which back ends' loads are known; a shorter one would cost traffic between zones."""
 KEY_REPORT_INTERVAL: Seconds = 0.5
-"""Requests by key are told less often: the leader's shortest memory of them is a second."""
-ASK_INTERVAL: Seconds = 0.01
-"""Requests that want permits within so long ask together: at most 100 messages a second of a node,
-however many requests it has. A tenth of what a leader's answer may take."""
-RECONNECT_PAUSE: Seconds = 0.15
-"""Below the spread of an election, so that a new leader is found soon; an estimate."""
+"""Requests by key are reported less often: the leader's shortest memory of them is a second."""
+PERMIT_REQUEST_INTERVAL: Seconds = 0.01
+"""Permit requests within this interval are sent together: at most 100 messages a second per node,
+however many requests it has. A tenth of the time that the leader's response may take."""
+RECONNECT_DELAY: Seconds = 0.15
+"""Below the spread of an election, so that a new leader is found soon."""
 
 
 class LeaderLink:
@@ -36,39 +36,39 @@
         identity: LeaderRecord,
         zone: str,
         control: ControlHost,
-        news: TableExchange,
+        table_exchange: TableExchange,
         policy: FeedPolicy,
     ) -> None:
         self._identity = identity
         self._zone = zone
         self._control = control
-        self._news = news
+        self._table_exchange = table_exchange
         self._policy = policy
         self._peer = PeerTables(steady_clock())
-        self._told = control.connection_news()
+        self._updates = control.connection_updates()
         self._next_key_report: Seconds = 0.0
-        self._heard_at: Seconds = NEVER
+        self._status_received_at: Seconds = NEVER
         self._log = get_logger("peers")
 
     @property
     def hears_leader(self) -> bool:
-        """Whether a leader was heard lately on the connection that is open."""
-        return steady_clock() - self._heard_at < LEADER_HEARD
+        """Whether a status of a leader has arrived recently on the open connection."""
+        return steady_clock() - self._status_received_at < MAX_LEADER_SILENCE
 
     async def run(self) -> None:
-        """Keep a connection to whichever node leads, until cancelled."""
+        """Keep a connection to the current leader, until cancelled."""
         while True:
             leader = self._control.election.record
             if leader is None or self._control.leads or self._is_self(leader):
-                await anyio.sleep(RECONNECT_PAUSE)
+                await anyio.sleep(RECONNECT_DELAY)
                 continue
             try:
                 await self._follow(leader)
             except ENDED as error:
-                self._heard_at = NEVER
+                self._status_received_at = NEVER
                 problem = type(error).__name__
                 self._log.info("leader_link_ended", leader=leader.node_id, problem=problem)
-            await anyio.sleep(RECONNECT_PAUSE)
+            await anyio.sleep(RECONNECT_DELAY)
 
     def _is_self(self, leader: LeaderRecord) -> bool:
         return leader.node_id == self._identity.node_id
@@ -79,13 +79,13 @@
         with anyio.fail_after(CONNECT_TIMEOUT):
             stream = await anyio.connect_tcp(host, int(port), local_host=own_host)
         self._peer = PeerTables(steady_clock())
-        self._told = self._control.connection_news()
+        self._updates = self._control.connection_updates()
         self._control.loads.handle_connected()
         async with stream:
             failure: Exception | None = None
             self._control.permits.handle_connected(True)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._send_news, FrameSender(stream))
+                tasks.start_soon(self._send_reports, FrameSender(stream))
                 try:
                     await self._read_statuses(stream, leader)
                 except ENDED as error:
@@ -95,25 +95,25 @@
             if failure is not None:
                 raise failure
 
-    async def _send_news(self, sender: FrameSender) -> None:
-        """Send reports at their interval; what cannot wait for the next one is sent at once."""
+    async def _send_reports(self, sender: FrameSender) -> None:
+        """Send a report at each interval, and urgent updates and permit requests immediately."""
         permits = self._control.permits
         address = self._identity.peer_address
         next_report: Seconds = NEVER
         try:
             while True:
-                known = permits.news.count
-                if steady_clock() >= next_report or self._told.has_urgent_updates:
+                known = permits.notifier.count
+                if steady_clock() >= next_report or self._updates.has_urgent_updates:
                     next_report = steady_clock() + REPORT_INTERVAL
                     message = ControlMessage(report=self._report())
                     message.report.peer_address = address
                     address = ""
                     await sender.send(message)
-                asks = permits.take_asks()
-                if asks is not None:
-                    await sender.send(ControlMessage(permit_asks=asks))
-                    await anyio.sleep(ASK_INTERVAL)
-                await permits.news.wait_beyond(known, next_report - steady_clock())
+                requests = permits.take_requests()
+                if requests is not None:
+                    await sender.send(ControlMessage(permit_asks=requests))
+                    await anyio.sleep(PERMIT_REQUEST_INTERVAL)
+                await permits.notifier.wait_beyond(known, next_report - steady_clock())
         except ENDED:
             return
 
@@ -132,8 +132,8 @@
             backend_loads=self._control.loads.report(now),
             processor=self._control.processor,
         )
-        self._news.fill(report, self._peer, now)
-        self._told.fill(report, now)
+        self._table_exchange.fill(report, self._peer, now)
+        self._updates.fill(report, now)
         return report
 
     async def _read_statuses(self, stream: SocketStream, leader: LeaderRecord) -> None:
@@ -142,11 +142,11 @@
             with anyio.fail_after(SILENCE_LIMIT):
                 message, _ = await reader.read()
             if message.HasField("permit_answers"):
-                self._control.permits.handle_answers(message.permit_answers)
+                self._control.permits.handle_responses(message.permit_answers)
                 continue
             self._control.handle_status(message.status, leader)
             if message.status.resigned:
-                # It is still connected, and tells who follows it as soon as it knows.
+                # It stays connected, and sends the next leader's record as soon as it knows it.
                 continue
             if not message.status.leads:
                 return
@@ -154,6 +154,6 @@
             self._policy.handle_status(
                 status.observes, status.store_silence, now, status.node_count
             )
-            self._news.apply(status, self._peer, now)
-            self._told.apply(status, now)
-            self._heard_at = now
+            self._table_exchange.apply(status, self._peer, now)
+            self._updates.apply(status, now)
+            self._status_received_at = now
--- a/src/limedeck/node/leaving_updates.py
+++ b/src/limedeck/node/leaving_updates.py
@@ -16,12 +16,12 @@
     def _write(
         self,
         message: control_pb2.Report | control_pb2.Status,
-        news: StatementUpdate[LeavingStatement],
+        update: StatementUpdate[LeavingStatement],
         now: Seconds,
     ) -> None:
-        statement = news.statement
+        statement = update.statement
         message.leaving.add(
-            backend=news.backend_id,
+            backend=update.backend_id,
             leaving=statement.is_leaving,
             asked=message_ages.age_of(statement.requested_at, now),
             heard=message_ages.age_of(statement.received_at, now),
--- a/src/limedeck/node/limit_updates.py
+++ b/src/limedeck/node/limit_updates.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of the limits that back ends name."""
+"""Exchange of limit statements between nodes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from limedeck.node import message_ages
 from limedeck.node.statement_updates import StatementUpdatePeer
 
-HIGHEST_RATE = 1e9
-"""Requests a second; a node tells no higher one, since it reads none."""
+MAX_RATE = 1e9
+"""Requests a second. Nodes read no higher rate from back ends, so none of them sends one."""
 
 
 class LimitUpdatePeer(StatementUpdatePeer[LimitStatement]):
@@ -19,12 +19,12 @@
     def _write(
         self,
         message: control_pb2.Report | control_pb2.Status,
-        news: StatementUpdate[LimitStatement],
+        update: StatementUpdate[LimitStatement],
         now: Seconds,
     ) -> None:
-        statement = news.statement
+        statement = update.statement
         message.limits.add(
-            backend=news.backend_id,
+            backend=update.backend_id,
             rate=statement.rate,
             asked=message_ages.age_of(statement.requested_at, now),
             heard=message_ages.age_of(statement.received_at, now),
@@ -40,7 +40,7 @@
 def _read_limit(item: control_pb2.LimitNews, now: Seconds) -> LimitStatement | None:
     """Read a statement; None if its rate is out of range."""
     rate = item.rate if item.HasField("rate") else None
-    if rate is not None and not 0.0 <= rate <= HIGHEST_RATE:
+    if rate is not None and not 0.0 <= rate <= MAX_RATE:
         return None
     return LimitStatement(
         rate, message_ages.time_of(item.asked, now), message_ages.time_of(item.heard, now)
--- a/src/limedeck/node/load_exchange.py
+++ b/src/limedeck/node/load_exchange.py
@@ -1,4 +1,4 @@
-"""What nodes tell the leader of back ends, and what it tells them of all requests there."""
+"""Exchange of back ends' loads: nodes report theirs, and the leader sends the totals."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from limedeck.ownership import fleet_backoffs, fleet_load, outliers
 
 TOTALS_INTERVAL: Seconds = 0.25
-"""Between two sums of what all nodes have at back ends; nodes report as often."""
+"""Interval at which the leader adds up all nodes' loads; nodes report as often."""
 
 
 class LoadExchange:
-    """One node's side of it: as a follower, and as the leader.
+    """A node's part in the exchange: as a follower and as the leader.
 
     Parameters
     ----------
     node_id
-        This node's name among the reports that a leader adds up.
+        This node's id among the reports that a leader adds up.
 
     Attributes
     ----------
@@ -45,21 +45,21 @@
     # ------------------------------------------------------------------ as a follower
 
     def report(self, now: Seconds) -> control_pb2.BackendLoads:
-        """What this node has to tell of its requests at back ends since the last report."""
+        """Return this node's load at back ends since the last report."""
         return backend_loads.write_report(self._directory, now)
 
     def handle_connected(self) -> None:
-        """A connection to a leader begins, on which nothing was told yet."""
+        """A connection to a leader begins, on which no totals were received yet."""
         self._reader = backend_loads.TotalsReader()
 
     def handle_totals(self, message: control_pb2.BackendTotals, now: Seconds) -> None:
-        """The leader told what all nodes have."""
+        """Apply the totals that the leader sent."""
         backend_loads.apply_totals(self._reader.read(message), self._directory, now)
 
     # ------------------------------------------------------------------ as the leader
 
     def handle_report(self, node: str, message: control_pb2.BackendLoads, now: Seconds) -> None:
-        """A node told what it has."""
+        """Record a node's report."""
         reports = backend_loads.read_report(message)
         self._fleet_load.record_report(node, reports, now)
         self._backoffs.record_report(node, reports, now)
@@ -67,12 +67,15 @@
             self._outliers.record(report.backend, report.answers, report.failures, now)
 
     def handle_follower_left(self, node: str) -> None:
-        """A node is not connected any more."""
+        """Forget the reports of a node that is no longer connected."""
         self._fleet_load.forget(node)
         self._backoffs.forget(node)
 
     def refresh(self, now: Seconds) -> dict[str, fleet_load.BackendTotal]:
-        """Add up what all nodes told, by back end, if that is due; this node believes it too."""
+        """Add up all nodes' reports by back end if due, and apply the totals to this node as well.
+
+        Returns an empty dictionary if it is not due.
+        """
         if self._next_totals is None:
             self._fleet_load.initialize(backend_loads.known_service_times(self._directory), now)
         elif now < self._next_totals:
@@ -90,25 +93,26 @@
             if total.outstanding
             >= outliers.OVERLOAD_REQUESTS_PER_SLOT * listed[total.backend].slots
         ]
-        services = {mark: backend.service for mark, backend in listed.items()}
+        services = {backend_hash: backend.service for backend_hash, backend in listed.items()}
         excluded = set(self._outliers.excluded(services, now, overloaded))
         excluded |= self._backoffs.update_rejecting(now) & listed.keys()
         avoided = self._backoffs.avoided_owners(now) & listed.keys()
-        self.avoided_owners = frozenset(listed[mark].backend_id for mark in avoided)
-        self._log_excluded({listed[mark].backend_id for mark in excluded})
+        self.avoided_owners = frozenset(listed[backend_hash].backend_id for backend_hash in avoided)
+        self._log_excluded({listed[backend_hash].backend_id for backend_hash in excluded})
         totals = [dataclasses.replace(total, excluded=total.backend in excluded) for total in sums]
-        # Owners of keys are planned by what was measured: their keys do not try out who is fast.
-        told = fleet_load.with_decayed_service_times(totals, services, now)
-        self._writer.write(told)
-        backend_loads.apply_totals(told, self._directory, now)
+        # Decayed service times let nodes try idle back ends again. The measured ones are returned,
+        # since keys are not assigned to owners to try out which of them is fast.
+        decayed = fleet_load.with_decayed_service_times(totals, services, now)
+        self._writer.write(decayed)
+        backend_loads.apply_totals(decayed, self._directory, now)
         return {listed[total.backend].backend_id: total for total in totals}
 
-    def totals_for(self, told: backend_loads.ToldTotals) -> control_pb2.BackendTotals | None:
-        """What a node lacks; `told` is updated."""
-        return None if self._next_totals is None else self._writer.message_for(told)
+    def totals_for(self, sent: backend_loads.SentTotals) -> control_pb2.BackendTotals | None:
+        """Return the totals that a node lacks, if any, and record them in `sent`."""
+        return None if self._next_totals is None else self._writer.message_for(sent)
 
-    def end(self) -> None:
-        """This node leads no more."""
+    def clear(self) -> None:
+        """Forget everything, since this node no longer leads."""
         self._fleet_load.clear()
         self._outliers.clear()
         self._backoffs.clear()
--- a/src/limedeck/node/order_sender.py
+++ b/src/limedeck/node/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends a leader's grants and releases to back ends, and feeds their answers back to its core."""
+"""Sends a leader's grants and releases to back ends, and passes their responses to its core."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from limedeck.routing.outcomes import AttemptFailed
 
 RELEASE_TIMEOUT: Seconds = 1.0
-"""A release is answered when the requests that run on its keys have ended."""
+"""A back end responds to a release once the requests that run on its keys have ended."""
 UNKNOWN_ADDRESS = "0.0.0.0:0"
-"""Of a recorded owner that was never listed while this process ran; no order reaches it."""
+"""Address of a recorded owner that was never listed while this process ran; no order reaches it."""
 
 
 class OrderSender:
@@ -25,9 +25,9 @@
     Parameters
     ----------
     directory
-        Tells where back ends are.
+        Provides the endpoints of back ends.
     timeout
-        A grant without an answer for so long, in seconds, counts as lost.
+        A grant without a response within this time, in seconds, counts as lost.
     """
 
     def __init__(
@@ -46,72 +46,80 @@
         self._log = get_logger("control")
 
     async def send_grant(self, name: str, core: ServiceOwnership, order: Grant) -> None:
-        """Send a grant, and tell the core what came of it."""
+        """Send a grant, and pass the result to the core."""
         sent_at = steady_clock()
         request = self._order_request(order.backend_id, order)
         try:
-            answer = await self._client.exchange(request, sent_at + self._timeout)
+            response = await self._client.exchange(request, sent_at + self._timeout)
         except AttemptFailed as error:
-            self._note_lost(name, core, order, str(error))
+            self._record_lost_order(name, core, order, str(error))
             return
-        done = self._orders.is_done(answer.status)
-        fenced_off = self._orders.is_fenced_off(answer.status)
+        done = self._orders.is_done(response.status)
+        fenced_off = self._orders.is_fenced_off(response.status)
         if done or fenced_off:
-            self._note_leaving(order.backend_id, answer, sent_at)
-        self._telemetry.orders.labels("grant", str(answer.status)).inc()
+            self._record_leaving(order.backend_id, response, sent_at)
+        self._telemetry.orders.labels("grant", str(response.status)).inc()
         if not done:
-            self._log.warning("grant_refused", service=name, status=answer.status, **_told(order))
+            self._log.warning(
+                "grant_refused", service=name, status=response.status, **_log_fields(order)
+            )
         core.handle_grant_answer(order, done, fenced_off, sent_at, steady_clock())
 
     async def send_release(self, name: str, core: ServiceOwnership, order: Release) -> None:
-        """Send a release, and tell the core what came of it."""
+        """Send a release, and pass the result to the core."""
         sent_at = steady_clock()
         request = self._order_request(order.backend_id, order)
         try:
-            answer = await self._client.exchange(request, sent_at + RELEASE_TIMEOUT)
+            response = await self._client.exchange(request, sent_at + RELEASE_TIMEOUT)
         except AttemptFailed as error:
-            self._note_lost(name, core, order, str(error))
+            self._record_lost_order(name, core, order, str(error))
             return
-        done = self._orders.is_done(answer.status)
+        done = self._orders.is_done(response.status)
         if done:
-            self._note_leaving(order.backend_id, answer, sent_at)
-        self._telemetry.orders.labels("release", str(answer.status)).inc()
-        handover = self._orders.handover(answer.headers)
+            self._record_leaving(order.backend_id, response, sent_at)
+        self._telemetry.orders.labels("release", str(response.status)).inc()
+        handover = self._orders.handover(response.headers)
         self._log.info(
-            "released", service=name, status=answer.status, handover=bool(handover), **_told(order)
+            "released",
+            service=name,
+            status=response.status,
+            handover=bool(handover),
+            **_log_fields(order),
         )
         core.handle_release_answer(order, done, handover, steady_clock())
 
-    def _note_leaving(self, backend_id: str, answer: HttpResponse, sent_at: Seconds) -> None:
-        """Record a leaving announcement; an idle owner makes it only in answers to orders."""
-        if self._orders.is_leaving(answer.headers):
+    def _record_leaving(self, backend_id: str, response: HttpResponse, sent_at: Seconds) -> None:
+        """Record a leaving announcement; an idle owner makes it only in responses to orders."""
+        if self._orders.is_leaving(response.headers):
             statement = LeavingStatement(True, sent_at, steady_clock())
             self._directory.leaving.record(backend_id, statement)
 
-    def _note_lost(
+    def _record_lost_order(
         self, name: str, core: ServiceOwnership, order: Grant | Release, problem: str
     ) -> None:
         kind = "grant" if isinstance(order, Grant) else "release"
         self._telemetry.orders.labels(kind, "lost").inc()
-        self._log.info("order_lost", service=name, kind=kind, problem=problem, **_told(order))
+        self._log.info("order_lost", service=name, kind=kind, problem=problem, **_log_fields(order))
         core.handle_order_lost(order, steady_clock())
 
     def _order_request(self, backend_id: str, order: Grant | Release) -> HttpRequest:
-        contact = self._directory.last_endpoint(backend_id) or Endpoint(UNKNOWN_ADDRESS, backend_id)
-        address = contact.address
+        endpoint = self._directory.last_endpoint(backend_id) or Endpoint(
+            UNKNOWN_ADDRESS, backend_id
+        )
+        address = endpoint.address
         if isinstance(order, Grant):
-            written = self._orders.grant(order, contact.instance)
+            encoded = self._orders.grant(order, endpoint.instance)
         else:
-            written = self._orders.release(order, contact.instance)
+            encoded = self._orders.release(order, endpoint.instance)
         headers = [
             (b"host", address.encode()),
-            *written.headers,
-            (b"content-length", b"%d" % len(written.body)),
+            *encoded.headers,
+            (b"content-length", b"%d" % len(encoded.body)),
         ]
-        return HttpRequest(address, b"POST", written.path, headers, written.body)
+        return HttpRequest(address, b"POST", encoded.path, headers, encoded.body)
 
 
-def _told(order: Grant | Release) -> dict[str, object]:
+def _log_fields(order: Grant | Release) -> dict[str, object]:
     return {
         "backend": order.backend_id,
         "first": order.first,
--- a/src/limedeck/node/owner_changes.py
+++ b/src/limedeck/node/owner_changes.py
@@ -1,4 +1,4 @@
-"""Owners of keys as a leader tells them: whole at first, then what has changed since."""
+"""Messages with the owners of keys from a leader: all owners at first, then changes since."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class PublishedOwners:
-    """The newest owners of each service, and messages that lead up to them."""
+    """The newest owners of each service, and the messages that bring other nodes up to date."""
 
     def __init__(self) -> None:
         self._newest: dict[str, owners.OwnerMap] = {}
         self._messages: dict[tuple[str, int], control_pb2.ServiceOwners] = {}
 
     def publish(self, service: str, newest: owners.OwnerMap) -> None:
-        """These are a service's owners from now on."""
+        """Set a service's newest owners."""
         self._newest[service] = newest
         self._messages = {key: item for key, item in self._messages.items() if key[0] != service}
 
@@ -25,25 +25,25 @@
         return newest.version if newest is not None else 0
 
     def clear(self) -> None:
-        """Forget everything: this node leads no more."""
+        """Forget everything, since this node no longer leads."""
         self._newest.clear()
         self._messages.clear()
 
-    def since(self, told: dict[str, owners.OwnerMap]) -> list[control_pb2.ServiceOwners]:
-        """What a node lacks.
+    def updates_since(self, sent: dict[str, owners.OwnerMap]) -> list[control_pb2.ServiceOwners]:
+        """Return the messages that a node lacks.
 
         Parameters
         ----------
-        told
-            By service, what it was told on its connection; updated.
+        sent
+            Owners by service that were sent on the node's connection; updated.
         """
-        lacking = []
+        messages = []
         for service, newest in self._newest.items():
-            base = told.get(service)
+            base = sent.get(service)
             if base is None or base.version != newest.version:
-                lacking.append(self._message(service, base, newest))
-                told[service] = newest
-        return lacking
+                messages.append(self._message(service, base, newest))
+                sent[service] = newest
+        return messages
 
     def _message(
         self, service: str, base: owners.OwnerMap | None, newest: owners.OwnerMap
@@ -51,7 +51,7 @@
         key = (service, base.version if base is not None else 0)
         message = self._messages.get(key)
         if message is None:
-            message = _written(service, base, newest)
+            message = _encode_owners(service, base, newest)
             self._messages[key] = message
         return message
 
@@ -61,26 +61,26 @@
     known: owners.OwnerMap,
     clock_lead: identity.Seconds = 0.0,
 ) -> owners.OwnerMap:
-    """Read a leader's message.
+    """Apply a leader's message to known owners.
 
     Parameters
     ----------
     known
-        The owners that this node knows.
+        Owners that this node knows.
     clock_lead
         By how much this node's clock is ahead of the leader's, in seconds.
 
     Raises
     ------
     PeerProtocolError
-        The message builds on owners that this node does not know.
+        The message contains changes to a version that this node does not know.
     """
     ranges = tuple(_read_range(item, clock_lead) for item in message.ranges)
     if not message.base_version:
         return owners.OwnerMap(message.version, ranges)
     if message.base_version != known.version:
         raise errors.PeerProtocolError(
-            f"changes since version {message.base_version}, but {known.version} is known"
+            f"owner changes since version {message.base_version}, known version is {known.version}"
         )
     return known.changed(message.version, ranges)
 
@@ -90,7 +90,7 @@
     return owners.OwnedRange(item.first, item.last, item.owner, free_at)
 
 
-def _written(
+def _encode_owners(
     service: str, base: owners.OwnerMap | None, newest: owners.OwnerMap
 ) -> control_pb2.ServiceOwners:
     ranges = newest.ranges
--- a/src/limedeck/node/permit_exchange.py
+++ b/src/limedeck/node/permit_exchange.py
@@ -1,4 +1,4 @@
-"""How a node gets permits for back ends that bear little, and lends them while it leads."""
+"""Exchange of permits for rate-bounded back ends: nodes request them, the leader issues them."""
 
 from __future__ import annotations
 
@@ -20,126 +20,129 @@
     RateBound,
 )
 from limedeck.identity import Seconds
-from limedeck.node.limit_updates import HIGHEST_RATE
+from limedeck.node.limit_updates import MAX_RATE
 from limedeck.node.message_ages import MILLISECONDS
 from limedeck.node.notifier import Notifier
 from limedeck.ownership.election import ElectionCore
 from limedeck.ownership.leader_permits import NO_LEADER_RESPONSE, LeaderPermitIssuer
 
-ANSWER_PATIENCE: Seconds = 0.1
-"""A leader that has not answered by then is slow or gone, and the request is refused: what cannot
-be served is not to wait."""
-MOST_WAITING = 64
-"""Requests of one node that wait for an answer. With as many waiting there is no room for more."""
+RESPONSE_TIMEOUT: Seconds = 0.1
+"""A leader that has not responded by then is slow or gone, and the request is refused: one that
+cannot be served should not wait."""
+MAX_WAITING = 64
+"""Maximum number of a node's requests that wait for a response. With that many waiting, there is no
+room for more."""
 MAX_PAUSE: Seconds = 60.0
-"""What a leader tells is not believed beyond it; far above the pause for the lowest rate."""
+"""Longest pause that is accepted from a leader; far above the pause for the lowest rate."""
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
-    """A request that waits for its permit."""
+class _WaitingRequest:
+    """A permit request that waits for the leader's response."""
 
-    ask: PermitRequest
-    answered: anyio.Event
-    answer: PermitResponse = NO_LEADER_RESPONSE
+    request: PermitRequest
+    response_received: anyio.Event
+    response: PermitResponse = NO_LEADER_RESPONSE
 
 
 class PermitExchange:
-    """One node's side of it: as one that asks, and as the leader.
+    """A node's part in the exchange: as a requester of permits and as the leader.
 
     Attributes
     ----------
-    news
-        Given whenever there is something to ask the leader.
+    notifier
+        Notifies of new permit requests for the leader, and of statements to be sent.
     """
 
     def __init__(self, directory: BackendDirectory, election: ElectionCore) -> None:
         self._directory = directory
-        self._lending = LeaderPermitIssuer(election)
+        self._issuer = LeaderPermitIssuer(election)
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _WaitingRequest] = {}
         self._unsent: list[int] = []
         self._is_connected = False
-        self.news = Notifier()
+        self.notifier = Notifier()
 
-    # ------------------------------------------------------------------ as one that asks
+    # ------------------------------------------------------------------ as a requester
 
-    async def request(self, ask: PermitRequest) -> PermitResponse:
-        """Ask the leader, or decide if this node leads; without a leader there are none."""
-        if self._lending.leads:
-            return self._lend(ask, steady_clock())
-        if not self._is_connected or len(self._waiting) >= MOST_WAITING:
+    async def request(self, request: PermitRequest) -> PermitResponse:
+        """Request a permit from the leader, or decide if this node leads; denied if none leads."""
+        if self._issuer.leads:
+            return self._issue(request, steady_clock())
+        if not self._is_connected or len(self._waiting) >= MAX_WAITING:
             return NO_LEADER_RESPONSE
         number = next(self._numbers)
-        waiting = _Waiting(ask, anyio.Event())
+        waiting = _WaitingRequest(request, anyio.Event())
         self._waiting[number] = waiting
         self._unsent.append(number)
-        self.news.give()
+        self.notifier.give()
         try:
-            with anyio.move_on_after(ANSWER_PATIENCE):
-                await waiting.answered.wait()
+            with anyio.move_on_after(RESPONSE_TIMEOUT):
+                await waiting.response_received.wait()
         finally:
             del self._waiting[number]
-        return waiting.answer
+        return waiting.response
 
-    def take_asks(self) -> control_pb2.PermitAsks | None:
-        """Return what is to be asked of the leader; None if nothing."""
+    def take_requests(self) -> control_pb2.PermitAsks | None:
+        """Return the permit requests to be sent to the leader; None if there are none."""
         numbers, self._unsent = self._unsent, []
-        asks = [
+        requests = [
             control_pb2.PermitAsk(
                 number=number,
-                backend=waiting.ask.bound.backend_id,
-                rate=waiting.ask.bound.rate,
-                patience=round(waiting.ask.max_wait * MILLISECONDS),
+                backend=waiting.request.bound.backend_id,
+                rate=waiting.request.bound.rate,
+                patience=round(waiting.request.max_wait * MILLISECONDS),
             )
             for number in numbers
             if (waiting := self._waiting.get(number)) is not None
         ]
-        return control_pb2.PermitAsks(asks=asks) if asks else None
+        return control_pb2.PermitAsks(asks=requests) if requests else None
 
-    def handle_answers(self, message: control_pb2.PermitAnswers) -> None:
-        """The leader has answered."""
+    def handle_responses(self, message: control_pb2.PermitAnswers) -> None:
+        """Handle the leader's responses."""
         for item in message.answers:
             waiting = self._waiting.get(item.number)
             if waiting is None:
                 continue
             pause = min(item.pause / MILLISECONDS, MAX_PAUSE)
-            waiting.answer = Permit(pause) if item.lent else PermitDenied(pause)
-            waiting.answered.set()
+            waiting.response = Permit(pause) if item.lent else PermitDenied(pause)
+            waiting.response_received.set()
 
     def handle_connected(self, is_connected: bool) -> None:
-        """A connection to a leader has begun, or has ended with what was asked on it."""
+        """A connection to a leader has begun or ended; waiting requests will get no response."""
         self._is_connected = is_connected
         self._unsent.clear()
         for waiting in self._waiting.values():
-            waiting.answered.set()
+            waiting.response_received.set()
 
     # ------------------------------------------------------------------ as the leader
 
-    def answer(self, message: control_pb2.PermitAsks, now: Seconds) -> control_pb2.PermitAnswers:
-        """Answer what another node asks."""
-        return control_pb2.PermitAnswers(answers=list(self._answers(message.asks, now)))
+    def handle_requests(
+        self, message: control_pb2.PermitAsks, now: Seconds
+    ) -> control_pb2.PermitAnswers:
+        """Decide on another node's permit requests, and return the responses."""
+        return control_pb2.PermitAnswers(answers=list(self._responses(message.asks, now)))
 
     def handle_tick(self, now: Seconds) -> None:
-        """Take note of whether this node leads."""
-        self._lending.handle_tick(now)
+        """Begin or end issuing permits, depending on whether this node leads."""
+        self._issuer.handle_tick(now)
 
-    def _answers(
-        self, asks: Iterable[control_pb2.PermitAsk], now: Seconds
+    def _responses(
+        self, requests: Iterable[control_pb2.PermitAsk], now: Seconds
     ) -> Iterable[control_pb2.PermitAnswer]:
-        for item in asks:
-            rate = item.rate if 0.0 <= item.rate <= HIGHEST_RATE else 0.0
-            ask = PermitRequest(RateBound(item.backend, rate), item.patience / MILLISECONDS)
-            match self._lend(ask, now):
+        for item in requests:
+            rate = item.rate if 0.0 <= item.rate <= MAX_RATE else 0.0
+            request = PermitRequest(RateBound(item.backend, rate), item.patience / MILLISECONDS)
+            match self._issue(request, now):
                 case Permit(wait):
-                    # Rounded up: no turn may come early.
+                    # Rounded up, since no request may be sent before its turn.
                     pause = math.ceil(wait * MILLISECONDS)
                     yield control_pb2.PermitAnswer(number=item.number, lent=True, pause=pause)
                 case PermitDenied(pause_left):
                     pause = math.ceil(pause_left * MILLISECONDS)
                     yield control_pb2.PermitAnswer(number=item.number, lent=False, pause=pause)
 
-    def _lend(self, ask: PermitRequest, now: Seconds) -> PermitResponse:
-        state = self._directory.find(ask.bound.backend_id)
+    def _issue(self, request: PermitRequest, now: Seconds) -> PermitResponse:
+        state = self._directory.find(request.bound.backend_id)
         known = self._directory.availability.rate_bound(state, now) if state is not None else None
-        return self._lending.issue(ask, known.rate if known else None, now)
+        return self._issuer.issue(request, known.rate if known else None, now)
--- a/src/limedeck/node/statement_updates.py
+++ b/src/limedeck/node/statement_updates.py
@@ -17,18 +17,18 @@
 
     def __init__(self, ledger: StatementLedger[S]) -> None:
         self._ledger = ledger
-        self._told = 0
+        self._sent_version = 0
 
     @property
     def has_updates(self) -> bool:
         """Whether there are statements that the other node lacks."""
-        return bool(self._ledger.updates_since(self._told, self)[0])
+        return bool(self._ledger.updates_since(self._sent_version, self)[0])
 
     def fill(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Add the statements that the other node lacks."""
-        news, self._told = self._ledger.updates_since(self._told, self)
-        for item in news:
-            self._write(message, item, now)
+        updates, self._sent_version = self._ledger.updates_since(self._sent_version, self)
+        for update in updates:
+            self._write(message, update, now)
 
     def apply(self, message: control_pb2.Report | control_pb2.Status, now: Seconds) -> None:
         """Record the statements that the other node sent."""
@@ -39,7 +39,7 @@
     def _write(
         self,
         message: control_pb2.Report | control_pb2.Status,
-        news: StatementUpdate[S],
+        update: StatementUpdate[S],
         now: Seconds,
     ) -> None:
         """Add one statement, with ages instead of times since nodes' clocks are not comparable.
--- a/src/limedeck/node/table_exchange.py
+++ b/src/limedeck/node/table_exchange.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of the store, which may serve some of them and not others."""
+"""Exchange of table changes between nodes, since the store may serve only some of them."""
 
 from __future__ import annotations
 
@@ -21,39 +21,41 @@
     from limedeck.store import feeds
 
 
-PATIENCE: identity.Seconds = 0.6
-"""A node that asks the store itself is told what it lacks this long after this one learned it;
-above the interval of reports, so that nodes which the store serves are told nothing."""
-LARGEST_TOLD = 32_768
-"""Compressed bytes that a node without feeds is told at once; an estimate, not measured. More is
-read from the store: hundreds of nodes that are told it would fill a leader's link for seconds."""
-TOLD_SHARE = 0.5
-"""Part of its link that a leader spends at most on telling tables whole; the rest is left for
-heartbeats, orders and requests. An estimate."""
-ENCODED_KEPT = 64
-"""Encoded news that are remembered: most nodes lack the same."""
-DEFAULT_LINK = 1.25e6
-"""Bytes a second, 10 Mbit/s: the slowest machine of the known sites."""
-LARGEST_NEWS = 64 << 20
-"""Bytes after decompression; the store's rows are far smaller together."""
-TICK: identity.Seconds = 0.1
-"""Between two looks at whether this node keeps feeds."""
+FEED_GRACE: identity.Seconds = 0.6
+"""A node with feeds of its own is sent a change only if it still lacks it this long after this node
+learned it from the store. Above the interval of reports, so that nodes which the store serves are
+sent nothing."""
+MAX_UPDATE_SIZE = 32_768
+"""Compressed bytes of the largest update that is sent immediately to a node without feeds. Larger
+ones are read from the store: sending them to hundreds of nodes would saturate the leader's link for
+seconds."""
+SNAPSHOT_LINK_SHARE = 0.5
+"""Maximum share of its link that a leader uses to send snapshots of tables; the rest is left for
+heartbeats, orders and requests."""
+ENCODED_CACHE_SIZE = 64
+"""Number of encoded updates that are cached, since most nodes lack the same changes."""
+DEFAULT_LINK_RATE = 1.25e6
+"""Bytes a second (10 Mbit/s): the link of the slowest machine of the known sites."""
+MAX_DECODED_SIZE = 64 << 20
+"""Bytes of an update after decompression; all rows of the store together are far smaller."""
+FEED_CHECK_INTERVAL: identity.Seconds = 0.1
+"""Interval between checks of whether this node should keep feeds."""
 
 
 @dataclasses.dataclass(slots=True)
 class PeerTables:
-    """How far the replicas of the node at the other end of a connection are.
+    """Table versions of the node at the other end of a connection.
 
     Parameters
     ----------
     since
         When the connection was opened.
     newest
-        Newest version by table, as told last; None until it was told.
+        Newest version by table as last received; None before the first message.
     keeps_feeds
-        It learns from the store itself.
+        Whether it reads changes from the store itself.
     node_id
-        Its name, once it has told it.
+        Its id, once it was received.
     """
 
     since: identity.Seconds
@@ -63,91 +65,93 @@
 
 
 class TableExchange:
-    """Exchanges, with the leader or with all that follow it, what replicas of tables lack.
+    """Exchanges table changes that replicas lack, with the leader or with all its followers.
 
     Parameters
     ----------
     link
-        Bytes a second that this node can send.
+        Capacity of this node's link in bytes a second.
     """
 
-    def __init__(self, tables: Sequence[watchers.TableWatcher], link: float = DEFAULT_LINK) -> None:
+    def __init__(
+        self, tables: Sequence[watchers.TableWatcher], link: float = DEFAULT_LINK_RATE
+    ) -> None:
         self._watchers = {watcher.table: watcher for watcher in tables}
-        self._whole_tables = ByteAllowance(link * TOLD_SHARE)
+        self._snapshot_allowance = ByteAllowance(link * SNAPSHOT_LINK_SHARE)
         self._encoded: dict[tuple[str, int, int, bool], control_pb2.TableNews] = {}
 
     def set_on_change(self, handler: Callable[[], None]) -> None:
-        """Call a function whenever a replica has changed."""
+        """Set a function that is called whenever a replica has changed."""
         for watcher in self._watchers.values():
             watcher.replica.on_change = handler
 
     def fill(
         self,
-        told: control_pb2.Report | control_pb2.Status,
+        peer_message: control_pb2.Report | control_pb2.Status,
         peer: PeerTables,
         now: identity.Seconds,
     ) -> None:
-        """Add how far this node is, and what the other one lacks."""
+        """Add this node's table versions and the changes that the other node lacks."""
         for watcher in self._watchers.values():
-            told.tables.append(
+            peer_message.tables.append(
                 control_pb2.TableVersion(table=watcher.table, version=watcher.newest)
             )
-            news = self._news_for(watcher.replica, peer, now)
-            if news is not None:
-                told.news.append(news)
+            update = self._update_for(watcher.replica, peer, now)
+            if update is not None:
+                peer_message.news.append(update)
 
     def apply(
         self,
-        told: control_pb2.Report | control_pb2.Status,
+        peer_message: control_pb2.Report | control_pb2.Status,
         peer: PeerTables,
         now: identity.Seconds,
     ) -> None:
-        """Take in what the other node tells."""
-        for news in told.news:
-            watcher = self._watchers.get(news.table)
+        """Apply the changes and record the table versions that the other node sent."""
+        for update in peer_message.news:
+            watcher = self._watchers.get(update.table)
             if watcher is not None:
-                watcher.handle_update(_decoded(news), now)
-        peer.newest = {item.table: item.version for item in told.tables}
+                watcher.handle_update(_decode_update(update), now)
+        peer.newest = {item.table: item.version for item in peer_message.tables}
         for watcher in self._watchers.values():
             watcher.handle_peer_version(peer.newest.get(watcher.table, 0), now)
 
-    def _news_for(
+    def _update_for(
         self, table: replica.TableReplica, peer: PeerTables, now: identity.Seconds
     ) -> control_pb2.TableNews | None:
         if peer.newest is None:
             return None
-        told = peer.newest.get(table.table, 0)
+        peer_version = peer.newest.get(table.table, 0)
         if not peer.keeps_feeds:
-            news = table.update_for(told, now)
-            if news is None:
+            update = table.update_for(peer_version, now)
+            if update is None:
                 return None
-            encoded = self._encode(news, told)
-            if self._may_tell(encoded, now):
+            encoded = self._encode(update, peer_version)
+            if self._may_send(encoded, now):
                 return encoded
-        if now - peer.since < PATIENCE:
+        if now - peer.since < FEED_GRACE:
             return None
-        news = table.update_for(told, now - PATIENCE)
-        return self._encode(news, told) if news is not None else None
+        update = table.update_for(peer_version, now - FEED_GRACE)
+        return self._encode(update, peer_version) if update is not None else None
 
-    def _may_tell(self, encoded: control_pb2.TableNews, now: identity.Seconds) -> bool:
+    def _may_send(self, encoded: control_pb2.TableNews, now: identity.Seconds) -> bool:
         size = len(encoded.entries)
-        if size > LARGEST_TOLD:
+        if size > MAX_UPDATE_SIZE:
             return False
-        return not encoded.whole or self._whole_tables.try_acquire(size, now)
+        return not encoded.whole or self._snapshot_allowance.try_acquire(size, now)
 
-    def _encode(self, news: replica.TableUpdate, told: int) -> control_pb2.TableNews:
-        key = (news.table, told, news.newest, news.whole)
+    def _encode(self, update: replica.TableUpdate, peer_version: int) -> control_pb2.TableNews:
+        key = (update.table, peer_version, update.newest, update.whole)
         encoded = self._encoded.get(key)
         if encoded is None:
-            if len(self._encoded) >= ENCODED_KEPT:
+            if len(self._encoded) >= ENCODED_CACHE_SIZE:
                 self._encoded.clear()
-            encoded = _encoded(news)
+            encoded = _encode_update(update)
             self._encoded[key] = encoded
         return encoded
 
 
 class ByteAllowance:
-    """Bytes that may be sent: so many a second, and what was not sent in the last second."""
+    """Token bucket for bytes to be sent: refilled at a rate, and holding one second's worth."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
@@ -155,7 +159,7 @@
         self._filled_at: identity.Seconds | None = None
 
     def try_acquire(self, size: int, now: identity.Seconds) -> bool:
-        """Take so many bytes, or none if there are too few."""
+        """Take `size` bytes and return True, or take nothing and return False if fewer are left."""
         if self._filled_at is not None:
             self._left = min(self._left + self._rate * (now - self._filled_at), self._rate)
         self._filled_at = now
@@ -166,7 +170,7 @@
 
 
 class FeedKeeper:
-    """Lets this node's watchers keep feeds, or be told."""
+    """Sets whether this node's watchers keep feeds or rely on updates from other nodes."""
 
     def __init__(
         self,
@@ -179,20 +183,20 @@
         self._leads = leads
 
     def handle_store_back(self) -> None:
-        """The store answers after calls without an answer; feeds that waited may be dead."""
+        """Restart feeds once the store responds again: those that waited meanwhile may be dead."""
         for watcher in self._watchers:
             watcher.restart_feed()
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Apply the feed policy at intervals until cancelled."""
         while True:
             wanted = self._policy.feeds(self._leads(), clock.steady_clock())
             for watcher in self._watchers:
                 watcher.set_feeds(wanted, self._policy.temporary_feed_pause())
-            await anyio.sleep(TICK)
+            await anyio.sleep(FEED_CHECK_INTERVAL)
 
 
-def _encoded(news: replica.TableUpdate) -> control_pb2.TableNews:
+def _encode_update(update: replica.TableUpdate) -> control_pb2.TableNews:
     entries = control_pb2.TableEntries(
         entries=[
             control_pb2.TableEntry(
@@ -201,25 +205,25 @@
                 value=entry.value or b"",
                 dropped=entry.value is None,
             )
-            for entry in news.entries
+            for entry in update.entries
         ]
     )
     return control_pb2.TableNews(
-        table=news.table,
-        whole=news.whole,
-        newest=news.newest,
+        table=update.table,
+        whole=update.whole,
+        newest=update.newest,
         entries=zlib.compress(entries.SerializeToString()),
     )
 
 
-def _decoded(news: control_pb2.TableNews) -> replica.TableUpdate:
+def _decode_update(update: control_pb2.TableNews) -> replica.TableUpdate:
     try:
-        unpacked = zlib.decompressobj().decompress(news.entries, LARGEST_NEWS)
-        told = control_pb2.TableEntries.FromString(unpacked)
+        unpacked = zlib.decompressobj().decompress(update.entries, MAX_DECODED_SIZE)
+        decoded = control_pb2.TableEntries.FromString(unpacked)
     except (zlib.error, message.DecodeError) as exc:
-        raise errors.PeerProtocolError(f"news of {news.table}", str(exc)) from exc
+        raise errors.PeerProtocolError(f"update of table {update.table}", str(exc)) from exc
     entries = tuple(
         replica.Entry(entry.key, entry.version, None if entry.dropped else entry.value)
-        for entry in told.entries
+        for entry in decoded.entries
     )
-    return replica.TableUpdate(news.table, entries, news.newest, news.whole)
+    return replica.TableUpdate(update.table, entries, update.newest, update.whole)
--- a/tests/unit/test_backend_loads.py
+++ b/tests/unit/test_backend_loads.py
@@ -120,7 +120,7 @@
 
 def test_totals_are_read_as_they_were_written() -> None:
     writer, reader = backend_loads.TotalsWriter(), backend_loads.TotalsReader()
-    told = backend_loads.ToldTotals()
+    told = backend_loads.SentTotals()
     listed = [
         fleet_load.BackendTotal(7, 0, 0.0),
         fleet_load.BackendTotal(3, 12, 0.26, excluded=True),
@@ -133,15 +133,15 @@
     assert first == listed[0]
     assert (second.backend, second.outstanding, second.excluded) == (3, 12, True)
     assert second.service_time == pytest.approx(0.26, rel=0.025)
-    assert (third.outstanding, third.service_time) == (255, backend_loads.SHORTEST_TIME)
+    assert (third.outstanding, third.service_time) == (255, backend_loads.MIN_SERVICE_TIME)
     assert writer.message_for(told) is None
 
 
 def test_the_list_of_back_ends_is_told_again_only_when_it_has_changed() -> None:
-    writer, told = backend_loads.TotalsWriter(), backend_loads.ToldTotals()
+    writer, told = backend_loads.TotalsWriter(), backend_loads.SentTotals()
     sizes = []
-    for marks in ([1, 2], [1, 2], [1, 2, 3]):
-        writer.write([fleet_load.BackendTotal(mark, 1, 0.1) for mark in marks])
+    for hashes in ([1, 2], [1, 2], [1, 2, 3]):
+        writer.write([fleet_load.BackendTotal(mark, 1, 0.1) for mark in hashes])
         message = writer.message_for(told)
         assert message is not None
         sizes.append(len(message.backends))
@@ -150,7 +150,7 @@
 
 def test_totals_of_300_back_ends_are_small() -> None:
     """They go to every node several times a second, mostly to other zones."""
-    writer, told = backend_loads.TotalsWriter(), backend_loads.ToldTotals()
+    writer, told = backend_loads.TotalsWriter(), backend_loads.SentTotals()
     luck = random.Random(3)
     message = None
     for _ in range(2):
@@ -189,14 +189,14 @@
         nodes[name] = directory
         message = backend_loads.write_report(directory, 0.0)
         leader.record_report(name, backend_loads.read_report(message), 1.0)
-    marks = [backend_loads.backend_hash(name) for name in ("a", "b")]
-    totals = leader.totals(marks)
+    hashes = [backend_loads.backend_hash(name) for name in ("a", "b")]
+    totals = leader.totals(hashes)
     assert [item.outstanding for item in totals] == [7, 0]
     assert totals[0].service_time == pytest.approx(0.1)
     backend_loads.apply_totals(totals, nodes["n1"], 2.0)
     assert state_in(nodes["n1"], "a").expected_load(2.0) == 7.0
     leader.forget("n2")
-    assert leader.totals(marks)[0].outstanding == 3
+    assert leader.totals(hashes)[0].outstanding == 3
 
 
 def test_a_new_leader_goes_on_from_the_service_times_that_it_was_told() -> None:
@@ -205,8 +205,8 @@
     state_in(directory, "a").record_fleet_load(0, 0.05, 1.0)
     leader = fleet_load.FleetLoad()
     leader.initialize(backend_loads.known_service_times(directory), 1.0)
-    marks = [backend_loads.backend_hash(name) for name in ("a", "b")]
-    assert [item.service_time for item in leader.totals(marks)] == [0.05, 0.0]
+    hashes = [backend_loads.backend_hash(name) for name in ("a", "b")]
+    assert [item.service_time for item in leader.totals(hashes)] == [0.05, 0.0]
 
 
 def test_a_report_names_a_back_end_once_more_when_its_requests_have_ended() -> None:
--- a/tests/unit/test_owner_changes.py
+++ b/tests/unit/test_owner_changes.py
@@ -23,41 +23,41 @@
 
 def test_one_move_is_told_as_one_range() -> None:
     published = owner_changes.PublishedOwners()
-    told: dict[str, owners.OwnerMap] = {}
+    sent: dict[str, owners.OwnerMap] = {}
     first = map_of(1, (0, 99, "a"), (100, 199, "b"))
     published.publish("s", first)
-    assert published.since(told)[0].base_version == 0
+    assert published.updates_since(sent)[0].base_version == 0
     published.publish("s", map_of(2, (0, 9, "a"), (10, 19, ""), (20, 99, "a"), (100, 199, "b")))
-    message = published.since(told)[0]
+    message = published.updates_since(sent)[0]
     assert [(r.first, r.last, r.owner) for r in message.ranges] == [(10, 19, "")]
-    assert as_keys(owner_changes.read_owners(message, first)) == as_keys(told["s"])
-    assert published.since(told) == []
+    assert as_keys(owner_changes.read_owners(message, first)) == as_keys(sent["s"])
+    assert published.updates_since(sent) == []
 
 
 def test_changes_since_what_a_node_does_not_know_are_refused() -> None:
     published = owner_changes.PublishedOwners()
-    told = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
+    sent = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
     published.publish("s", map_of(2, (0, 98, "a"), (99, 199, "b")))
-    message = published.since(told)[0]
+    message = published.updates_since(sent)[0]
     with pytest.raises(errors.PeerProtocolError):
         owner_changes.read_owners(message, map_of(5, (0, 199, "z")))
 
 
 def test_a_change_of_everything_is_told_whole() -> None:
     published = owner_changes.PublishedOwners()
-    told = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
+    sent = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
     published.publish("s", map_of(2, (0, 199, "c")))
-    assert published.since(told)[0].base_version == 0
+    assert published.updates_since(sent)[0].base_version == 0
 
 
 def test_the_end_of_a_lost_owners_lease_is_told_on_the_readers_clock() -> None:
     published = owner_changes.PublishedOwners()
-    told: dict[str, owners.OwnerMap] = {}
+    sent: dict[str, owners.OwnerMap] = {}
     published.publish("s", map_of(1, (0, 99, "a"), (100, 199, "b")))
-    known = owner_changes.read_owners(published.since(told)[0], owners.OwnerMap(), 5.0)
+    known = owner_changes.read_owners(published.updates_since(sent)[0], owners.OwnerMap(), 5.0)
     lost = owners.OwnedRange(0, 99, "", free_at=50.0)
     published.publish("s", owners.OwnerMap(2, (lost, owners.OwnedRange(100, 199, "b"))))
-    message = published.since(told)[0]
+    message = published.updates_since(sent)[0]
     assert len(message.ranges) == 1
     found = owner_changes.read_owners(message, known, 5.0)
     assert (found.owner(7), found.free_at(7)) == ("", 55.0)
@@ -81,7 +81,7 @@
     source = random.Random(seed)
     published = owner_changes.PublishedOwners()
     known = [owners.OwnerMap() for _ in range(3)]
-    told: list[dict[str, owners.OwnerMap]] = [{} for _ in range(3)]
+    sent: list[dict[str, owners.OwnerMap]] = [{} for _ in range(3)]
     for version in range(1, 40):
         newest = random_map(source, version)
         published.publish("s", newest)
@@ -89,7 +89,7 @@
             if source.random() < 0.4:
                 continue
             if source.random() < 0.1:
-                told[index] = {}
-            for message in published.since(told[index]):
+                sent[index] = {}
+            for message in published.updates_since(sent[index]):
                 known[index] = owner_changes.read_owners(message, known[index])
             assert as_keys(known[index]) == as_keys(newest)
--- a/tests/unit/test_permit_exchange.py
+++ b/tests/unit/test_permit_exchange.py
@@ -23,7 +23,7 @@
 from limedeck.ownership.timing import OwnershipTiming
 
 pytestmark = pytest.mark.anyio
-ASK = PermitRequest(RateBound("a", 4.2), 0.04)
+REQUEST = PermitRequest(RateBound("a", 4.2), 0.04)
 
 
 @pytest.fixture
@@ -44,61 +44,63 @@
     return made
 
 
-async def asked_of(node: permit_exchange.PermitExchange, answers: list[PermitResponse]) -> None:
-    answers.append(await node.request(ASK))
+async def request_permit(
+    node: permit_exchange.PermitExchange, responses: list[PermitResponse]
+) -> None:
+    responses.append(await node.request(REQUEST))
 
 
 async def test_without_a_leader_there_are_no_permits() -> None:
-    assert await exchange().request(ASK) == NO_LEADER_RESPONSE
+    assert await exchange().request(REQUEST) == NO_LEADER_RESPONSE
 
 
 async def test_a_leader_lends_to_others_and_itself_from_one_allowance() -> None:
     leader, follower = exchange(leads=True), exchange()
     follower.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(asked_of, follower, answers)
+        tasks.start_soon(request_permit, follower, responses)
         await anyio.wait_all_tasks_blocked()
-        asks = follower.take_asks()
-        assert asks is not None
-        follower.handle_answers(leader.answer(asks, steady_clock()))
-    (answer,) = answers
-    assert isinstance(answer, Permit)
-    assert isinstance(await leader.request(ASK), PermitDenied)
-    assert follower.take_asks() is None
+        requests = follower.take_requests()
+        assert requests is not None
+        follower.handle_responses(leader.handle_requests(requests, steady_clock()))
+    (response,) = responses
+    assert isinstance(response, Permit)
+    assert isinstance(await leader.request(REQUEST), PermitDenied)
+    assert follower.take_requests() is None
 
 
 async def test_what_was_asked_on_a_connection_that_ends_is_not_waited_for() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(asked_of, node, answers)
+        tasks.start_soon(request_permit, node, responses)
         await anyio.wait_all_tasks_blocked()
         node.handle_connected(False)
-    assert answers == [NO_LEADER_RESPONSE]
-    assert node.take_asks() is None
+    assert responses == [NO_LEADER_RESPONSE]
+    assert node.take_requests() is None
 
 
 async def test_a_late_answer_of_a_leader_changes_nothing() -> None:
     node = exchange()
     node.handle_connected(True)
-    assert await node.request(ASK) == NO_LEADER_RESPONSE
+    assert await node.request(REQUEST) == NO_LEADER_RESPONSE
     late = control_pb2.PermitAnswer(number=1, lent=True)
-    node.handle_answers(control_pb2.PermitAnswers(answers=[late]))
+    node.handle_responses(control_pb2.PermitAnswers(answers=[late]))
 
 
 async def test_so_many_requests_wait_for_permits_and_no_more() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        for _ in range(permit_exchange.MOST_WAITING):
-            tasks.start_soon(asked_of, node, answers)
+        for _ in range(permit_exchange.MAX_WAITING):
+            tasks.start_soon(request_permit, node, responses)
         await anyio.wait_all_tasks_blocked()
-        assert await node.request(ASK) == NO_LEADER_RESPONSE
+        assert await node.request(REQUEST) == NO_LEADER_RESPONSE
         node.handle_connected(False)
-    assert answers == [NO_LEADER_RESPONSE] * permit_exchange.MOST_WAITING
+    assert responses == [NO_LEADER_RESPONSE] * permit_exchange.MAX_WAITING
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -1.0])
@@ -108,18 +110,20 @@
     answers = [
         item.lent
         for _ in range(20)
-        for item in leader.answer(control_pb2.PermitAsks(asks=[ask]), steady_clock()).answers
+        for item in leader.handle_requests(
+            control_pb2.PermitAsks(asks=[ask]), steady_clock()
+        ).answers
     ]
     assert sum(answers) <= 1
 
 
 async def test_a_node_that_leads_no_more_lends_no_more() -> None:
     node = exchange(leads=True)
-    election = node._lending._election
+    election = node._issuer._election
     election.resign()
     newer = control_pb2.LeaderRecord(node_id="m", incarnation=2, term=2)
     election.handle_peer_record(newer, 2, steady_clock())
-    assert await node.request(ASK) == NO_LEADER_RESPONSE
+    assert await node.request(REQUEST) == NO_LEADER_RESPONSE
 
 
 def told(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
--- a/tests/unit/test_table_exchange.py
+++ b/tests/unit/test_table_exchange.py
@@ -74,7 +74,7 @@
         node.reads(1.0, 2, entry("a", 1), entry("b", 2))
     leader.learns(5.0, entry("a", 3, b"draining"))
     leader.learns(5.1, entry("b", 4, None))
-    exchange(leader, refused, 5.0 + table_exchange.PATIENCE + 0.2)
+    exchange(leader, refused, 5.0 + table_exchange.FEED_GRACE + 0.2)
     assert refused.held.values == {"a": b"draining"}
     assert refused.replica.newest == 4
 
@@ -86,7 +86,7 @@
         node.learns(5.0, entry("a", 2))
     assert exchange(leader, served, 9.0) == 0
     leader.learns(9.0, entry("a", 3))
-    assert exchange(leader, served, 9.0 + table_exchange.PATIENCE / 2) == 0
+    assert exchange(leader, served, 9.0 + table_exchange.FEED_GRACE / 2) == 0
 
 
 def test_a_node_that_knows_nothing_is_told_the_table_whole() -> None:
@@ -126,7 +126,7 @@
     leader.reads(1.0, 1, entry("a", 1))
     peer = table_exchange.PeerTables(since=9.0, newest={"t": 0})
     status = control_pb2.Status()
-    leader.news.fill(status, peer, 9.0 + table_exchange.PATIENCE / 2)
+    leader.news.fill(status, peer, 9.0 + table_exchange.FEED_GRACE / 2)
     assert not status.news
 
 
@@ -171,7 +171,7 @@
 
 
 def test_a_table_that_is_too_large_is_left_to_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(table_exchange, "LARGEST_TOLD", 1_000)
+    monkeypatch.setattr(table_exchange, "MAX_UPDATE_SIZE", 1_000)
     leader = Node()
     leader.reads(1.0, 300, *large_table(300))
     assert told_whole(leader, 1.2, 3) == 0
@@ -211,7 +211,7 @@
                 missed[index].clear()
         leader = nodes[0]
         for node in nodes[1:]:
-            exchange(leader, node, now + table_exchange.PATIENCE + 0.1)
+            exchange(leader, node, now + table_exchange.FEED_GRACE + 0.1)
             assert node.held.values == leader.held.values
             assert node.replica.newest == leader.replica.newest
 
--- a/tests/unit/test_telling.py
+++ b/tests/unit/test_telling.py
@@ -49,7 +49,7 @@
     tells.record_load(LoadReport(1, 0, 4), 0.0)
     tells.outstanding = 2
     host.loads.refresh(1.0)
-    message = host.loads.totals_for(backend_loads.ToldTotals())
+    message = host.loads.totals_for(backend_loads.SentTotals())
     assert message is not None
     told = backend_loads.TotalsReader().read(message)
     assert {item.backend: item.outstanding for item in told} == {
@@ -60,7 +60,7 @@
 
 def test_a_follower_tells_nobody_of_back_ends() -> None:
     host, _ = leader()
-    assert host.loads.totals_for(backend_loads.ToldTotals()) is None
+    assert host.loads.totals_for(backend_loads.SentTotals()) is None
 
 
 @pytest.mark.parametrize(("followers", "longest"), [(10, 0.02), (77, 0.12), (489, 0.3)])
@@ -72,6 +72,6 @@
         "127.0.0.1:1", "z1", host, table_exchange.TableExchange(()), TIMING
     )
     connections.node_count = lambda: followers + 1  # type: ignore[method-assign]
-    pause = connections._telling_pause()
+    pause = connections._status_pause()
     assert pause <= longest
     assert pause + TIMING.heartbeat_interval < TIMING.leader_silence
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limedeck.identity import Seconds
-from limedeck.node.watchers import BRIEF_WAIT, LAG_PATIENCE, TableFollower, TableWatcher
+from limedeck.node.watchers import MAX_LAG, TEMPORARY_FEED_WAIT, TableFollower, TableWatcher
 from limedeck.store import feeds
 from limedeck.store.rows import (
     HistoryGone,
@@ -163,7 +163,7 @@
         watcher.handle_peer_version(2, 10.0)
         await settle()
         assert copy.keys == {"a"}, "a little lag is no sign of a dead feed"
-        watcher.handle_peer_version(2, 10.0 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(2, 10.0 + MAX_LAG + 0.1)
         await settle()
         assert copy.keys == {"a", "b"}
         tasks.cancel_scope.cancel()
@@ -210,7 +210,7 @@
         watcher.handle_peer_version(1, 10.0)
         await settle()
         assert store.reads == 0, "the other node tells what is new"
-        watcher.handle_peer_version(1, 10.0 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(1, 10.0 + MAX_LAG + 0.1)
         await settle()
         assert (copy.keys, store.reads) == ({"a"}, 1)
         store.put("b")
@@ -218,7 +218,7 @@
         await settle()
         assert (copy.keys, store.reads) == ({"a"}, 1)
         watcher.handle_peer_version(2, 20.3)
-        watcher.handle_peer_version(2, 20.3 + LAG_PATIENCE + 0.1)
+        watcher.handle_peer_version(2, 20.3 + MAX_LAG + 0.1)
         await settle()
         assert (copy.keys, store.reads) == ({"a", "b"}, 2)
         tasks.cancel_scope.cancel()
@@ -274,7 +274,7 @@
         await settle()
         watcher.set_feeds(feeds.FeedMode.PERMANENT)
         await settle()
-        assert store.waits == [BRIEF_WAIT, 20.0]
+        assert store.waits == [TEMPORARY_FEED_WAIT, 20.0]
         tasks.cancel_scope.cancel()
 
 
