--- a/tests/unit/test_backend_loads.py
+++ b/tests/unit/test_backend_loads.py
@@ -1,4 +1,4 @@
-"""What nodes believe of back ends: work by route, loads told by the leader, shares by load."""
+"""Estimates of back ends' load: cost by route, totals from the leader, shares by load."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
     return request.RequestCore(b"r", route, view, directory, None, now + 1.0, now)
 
 
-# ---------------------------------------------------------------------- work by route
+# ---------------------------------------------------------------------- cost by route
 
 
-def test_a_route_that_is_new_at_a_slow_service_is_not_refused_for_the_others_work() -> None:
-    """Found on klvs-gateway: 6,739 short requests were refused by the time that long ones take."""
+def test_a_new_route_is_not_refused_because_of_another_routes_service_time() -> None:
+    """On klvs-gateway, 6,739 short requests were refused by the service time of long ones."""
     directory = directory_of("a")
     state = state_in(directory, "a")
     for step in range(50):
@@ -63,7 +63,7 @@
     assert isinstance(short.next_command(10.0, 3), commands.Attempt)
 
 
-def test_each_routes_time_is_its_own_work_at_the_back_ends_speed() -> None:
+def test_a_routes_expected_time_is_its_own_cost_at_the_back_ends_speed() -> None:
     directory = directory_of("slow", "fast")
     slow, fast = state_in(directory, "slow"), state_in(directory, "fast")
     for step in range(400):
@@ -75,7 +75,7 @@
         assert state.expected_time_of("short", 100.0) == pytest.approx(0.02 * factor, rel=0.25)
 
 
-def test_the_only_route_of_a_service_has_the_mean_work() -> None:
+def test_the_only_route_of_a_service_has_the_mean_cost() -> None:
     measured = request_cost.ServiceWork()
     for ratio in (0.5, 1.5, 3.0, 0.7, 0.9, 1.1):
         measured.record("r", ratio)
@@ -83,7 +83,7 @@
     assert measured.relative("other") == 1.0
 
 
-def test_a_queue_is_not_taken_for_slowness() -> None:
+def test_time_in_the_queue_does_not_count_as_service_time() -> None:
     directory = directory_of("a")
     state = state_in(directory, "a")
     for step in range(100):
@@ -91,10 +91,10 @@
     assert state.service_time == pytest.approx(0.1, rel=0.1)
 
 
-# ---------------------------------------------------------------------- loads told by the leader
+# ---------------------------------------------------------------------- totals from the leader
 
 
-def test_what_other_nodes_have_counts_until_it_is_old() -> None:
+def test_other_nodes_load_counts_until_it_expires() -> None:
     state = state_in(directory_of("a"), "a")
     state.outstanding = 2
     assert state.take_sample() is not None
@@ -103,14 +103,14 @@
     assert state.expected_load(5.1 + backend_state.FLEET_LOAD_LIFE) == 2.0
 
 
-def test_a_back_end_that_tells_its_load_is_believed_before_the_leader() -> None:
+def test_a_back_ends_own_load_report_takes_precedence_over_the_leaders_total() -> None:
     state = state_in(directory_of("a"), "a")
     state.record_load(LoadReport(1, 0, SLOTS), 5.0)
     state.record_fleet_load(9, 0.0, 5.0)
     assert state.expected_load(5.0) == 1.0
 
 
-def test_the_leader_is_believed_once_its_sum_is_newer_than_the_answer() -> None:
+def test_the_leaders_total_takes_precedence_once_it_is_newer_than_the_response() -> None:
     state = state_in(directory_of("a"), "a")
     state.record_load(LoadReport(1, 0, SLOTS), 5.0)
     state.record_fleet_load(9, 0.0, 5.5)
@@ -118,48 +118,48 @@
     assert state.expected_load(5.5 + backend_state.FLEET_LOAD_LIFE) < 1.0
 
 
-def test_totals_are_read_as_they_were_written() -> None:
+def test_totals_are_decoded_as_they_were_encoded() -> None:
     writer, reader = backend_loads.TotalsWriter(), backend_loads.TotalsReader()
-    told = backend_loads.SentTotals()
+    sent = backend_loads.SentTotals()
     listed = [
         fleet_load.BackendTotal(7, 0, 0.0),
         fleet_load.BackendTotal(3, 12, 0.26, excluded=True),
         fleet_load.BackendTotal(9, 4000, 0.0001),
     ]
     writer.write(listed)
-    message = writer.message_for(told)
+    message = writer.message_for(sent)
     assert message is not None
     first, second, third = reader.read(message)
     assert first == listed[0]
     assert (second.backend, second.outstanding, second.excluded) == (3, 12, True)
     assert second.service_time == pytest.approx(0.26, rel=0.025)
     assert (third.outstanding, third.service_time) == (255, backend_loads.MIN_SERVICE_TIME)
-    assert writer.message_for(told) is None
+    assert writer.message_for(sent) is None
 
 
-def test_the_list_of_back_ends_is_told_again_only_when_it_has_changed() -> None:
-    writer, told = backend_loads.TotalsWriter(), backend_loads.SentTotals()
+def test_the_list_of_back_ends_is_sent_again_only_when_it_has_changed() -> None:
+    writer, sent = backend_loads.TotalsWriter(), backend_loads.SentTotals()
     sizes = []
     for hashes in ([1, 2], [1, 2], [1, 2, 3]):
-        writer.write([fleet_load.BackendTotal(mark, 1, 0.1) for mark in hashes])
-        message = writer.message_for(told)
+        writer.write([fleet_load.BackendTotal(backend, 1, 0.1) for backend in hashes])
+        message = writer.message_for(sent)
         assert message is not None
         sizes.append(len(message.backends))
     assert sizes == [2, 0, 3]
 
 
 def test_totals_of_300_back_ends_are_small() -> None:
-    """They go to every node several times a second, mostly to other zones."""
-    writer, told = backend_loads.TotalsWriter(), backend_loads.SentTotals()
-    luck = random.Random(3)
+    """Totals are sent to every node several times a second, mostly to other zones."""
+    writer, sent = backend_loads.TotalsWriter(), backend_loads.SentTotals()
+    generator = random.Random(3)
     message = None
     for _ in range(2):
         totals = [
-            fleet_load.BackendTotal(mark, luck.randrange(5), luck.uniform(0.1, 0.6))
-            for mark in range(300)
+            fleet_load.BackendTotal(backend, generator.randrange(5), generator.uniform(0.1, 0.6))
+            for backend in range(300)
         ]
         writer.write(totals)
-        message = writer.message_for(told)
+        message = writer.message_for(sent)
     assert message is not None
     assert message.ByteSize() < 400
 
@@ -173,12 +173,12 @@
         control_pb2.BackendTotals(listing=1, backends=[1, 2], columns=zlib.compress(b"123")),
     ],
 )
-def test_totals_that_fit_no_list_are_refused(message: control_pb2.BackendTotals) -> None:
+def test_totals_that_do_not_fit_the_list_are_refused(message: control_pb2.BackendTotals) -> None:
     with pytest.raises(PeerProtocolError):
         backend_loads.TotalsReader().read(message)
 
 
-def test_loads_add_up_over_nodes_and_a_lost_node_counts_no_more() -> None:
+def test_loads_add_up_over_nodes_and_a_lost_node_no_longer_counts() -> None:
     leader = fleet_load.FleetLoad()
     nodes = {}
     for name, outstanding in (("n1", 3), ("n2", 4)):
@@ -199,8 +199,8 @@
     assert leader.totals(hashes)[0].outstanding == 3
 
 
-def test_a_new_leader_goes_on_from_the_service_times_that_it_was_told() -> None:
-    """Found on klvs-gateway scale-2: a new leader gave a very hot key to a slow back end."""
+def test_a_new_leader_starts_from_the_service_times_that_it_received_as_follower() -> None:
+    """On klvs-gateway scale-2, a new leader assigned a very hot key to a slow back end."""
     directory = directory_of("a", "b")
     state_in(directory, "a").record_fleet_load(0, 0.05, 1.0)
     leader = fleet_load.FleetLoad()
@@ -209,7 +209,7 @@
     assert [item.service_time for item in leader.totals(hashes)] == [0.05, 0.0]
 
 
-def test_a_report_names_a_back_end_once_more_when_its_requests_have_ended() -> None:
+def test_a_report_lists_a_back_end_once_more_after_its_requests_have_ended() -> None:
     directory = directory_of("a")
     state = state_in(directory, "a")
     state.outstanding = 1
@@ -228,7 +228,7 @@
     assert not backend_loads.write_report(directory, 0.0).backends
 
 
-def test_one_that_all_nodes_are_told_to_pass_over_is_passed_over_until_the_word_is_old() -> None:
+def test_a_back_end_that_the_leader_excludes_is_not_chosen_until_the_totals_expire() -> None:
     directory = directory_of("a", "b")
     state_in(directory, "a").record_fleet_load(0, 0.1, 5.0, excluded=True)
     picks = {directory.choose("s", (), b"%d" % number, 5.1) for number in range(40)}
@@ -253,8 +253,8 @@
     assert sum(shares) == pytest.approx(6.0)
 
 
-def test_nodes_that_know_the_same_old_loads_do_not_all_choose_the_same_back_end() -> None:
-    """Eleven nodes that each choose the least loaded one would swamp it before the next report."""
+def test_nodes_with_the_same_stale_loads_do_not_all_choose_the_same_back_end() -> None:
+    """Eleven nodes that each chose the least loaded one would swamp it before the next report."""
     names = [f"b{number}" for number in range(6)]
     directory = directory_of(*names)
     loads = (5, 5, 4, 4, 3, 3)
@@ -269,13 +269,13 @@
     assert chosen["b5"] > 1.5 * chosen["b0"]
 
 
-def test_shares_hold_for_any_loads() -> None:
-    luck = random.Random(7)
+def test_shares_level_random_loads() -> None:
+    generator = random.Random(7)
     for _ in range(200):
-        count = luck.randint(1, 12)
-        loads = [luck.uniform(0.0, 20.0) for _ in range(count)]
-        capacities = [luck.uniform(1.0, 90.0) for _ in range(count)]
-        arrivals = luck.uniform(0.1, 50.0)
+        count = generator.randint(1, 12)
+        loads = [generator.uniform(0.0, 20.0) for _ in range(count)]
+        capacities = [generator.uniform(1.0, 90.0) for _ in range(count)]
+        arrivals = generator.uniform(0.1, 50.0)
         shares = load_leveling.levelling_shares(loads, capacities, arrivals)
         assert sum(shares) == pytest.approx(arrivals)
         uses = [(a + b) / c for a, b, c in zip(loads, shares, capacities, strict=True)]
@@ -284,10 +284,10 @@
         assert all(use >= max(given) - 1e-9 for use in uses)
 
 
-# ---------------------------------------------------------------------- whom to refuse
+# ---------------------------------------------------------------------- refusals
 
 
-def test_a_caller_that_comes_back_is_known_by_the_time_it_has_left() -> None:
+def test_a_client_retry_is_recognised_by_its_remaining_time() -> None:
     view = request.ServiceView("s", False, budget.RetryBudget(budget.RetryAllowance(0.2, 9, 10)))
     assert not view.record_wait("r", 0.5)
     assert not view.record_wait("r", 0.49)
@@ -304,7 +304,7 @@
     return directory
 
 
-def test_who_cannot_come_back_once_more_is_served_late_rather_than_refused() -> None:
+def test_a_request_that_cannot_be_retried_again_is_served_late_instead_of_refused() -> None:
     directory = busy_directory(3 * SLOTS)
     first = core_for(directory, "r", 0.2, 10.0)
     command = first.next_command(10.0, 3)
@@ -319,7 +319,7 @@
     assert isinstance(again.next_command(10.0, 3), commands.Attempt)
 
 
-def test_nothing_is_sent_to_a_back_end_that_would_reset_it() -> None:
+def test_nothing_is_sent_to_a_back_end_whose_queue_is_full() -> None:
     directory = busy_directory(int(backend_state.FULL_QUEUE) * SLOTS)
     core = core_for(directory, "r", 5.0, 10.0)
     core.claim.is_client_retry = True
--- a/tests/unit/test_instrumented_store.py
+++ b/tests/unit/test_instrumented_store.py
@@ -23,7 +23,7 @@
 
 
 class BrokenStore(RowStore):
-    """Reads once, then is away; it has forgotten its history."""
+    """A store that fails after the first read and has dropped its history."""
 
     def __init__(self) -> None:
         self.reads = 0
@@ -56,7 +56,7 @@
         await store.changes("t", 1, 2.0)
 
 
-def test_each_call_counts_once_and_its_failure_is_passed_on() -> None:
+def test_each_call_is_counted_once_and_its_error_is_raised() -> None:
     telemetry = Telemetry()
     store = InstrumentedStore(BrokenStore(), telemetry)
     anyio.run(call_everything, store)
--- a/tests/unit/test_load_exchange.py
+++ b/tests/unit/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""What the leader makes of nodes' reports: overloaded back ends are told from failing ones."""
+"""The leader's totals of nodes' reports: overloaded back ends are not taken for failing ones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def report(*rows: tuple[str, int, int, int]) -> control_pb2.BackendLoads:
-    """A node's message: back end, outstanding requests, answers, failures."""
+    """A node's report, by back end: outstanding requests, responses, failures."""
     message = control_pb2.BackendLoads()
     for name, outstanding, answers, failures in rows:
         message.backends.append(backend_loads.backend_hash(name))
@@ -43,7 +43,7 @@
     start: float,
     rounds: int,
 ) -> bool:
-    """All nodes report; the other back ends answer two requests a round each."""
+    """Let all nodes report in rounds, with two responses of each other back end in each round."""
     ever = False
     for number in range(rounds):
         now = start + number * load_exchange.TOTALS_INTERVAL
@@ -61,9 +61,9 @@
 
 @pytest.mark.parametrize("answers", [0, 3])
 def test_an_overloaded_back_end_is_not_taken_for_a_failing_one(answers: int) -> None:
-    """Found on zhbs-gate-large scale-1: owners of hot keys were excluded one after the other.
+    """On zhbs-gate-large scale-1, owners of hot keys were excluded one after the other.
 
-    Each one's keys, and so the flood, went to the next, and all of them reset new connections.
+    The keys of each, and so the overload, moved to the next, and all of them reset new connections.
     """
     exchange = leader()
     assert not excluded_while(exchange, 0, 2, 0, 0.0, 4)
@@ -71,18 +71,18 @@
     assert not excluded_while(exchange, 1, 2, 0, 2.0, 4)
 
 
-def test_a_back_end_that_fails_with_room_is_excluded() -> None:
+def test_a_failing_back_end_with_free_slots_is_excluded() -> None:
     exchange = leader()
     assert excluded_while(exchange, 1, 2, 5, 0.0, 8)
 
 
-def test_a_back_end_with_a_queue_that_answers_nothing_is_excluded() -> None:
+def test_a_back_end_with_a_queue_and_no_responses_is_excluded() -> None:
     exchange = leader()
     assert excluded_while(exchange, SLOTS + QUEUE, 0, 5, 0.0, 8)
 
 
-def test_one_that_looked_slow_once_and_got_nothing_since_is_tried_again() -> None:
-    """An idle back end of six got none of 60 requests a second for as long as it was watched."""
+def test_the_service_time_of_an_idle_back_end_that_was_slow_once_decays() -> None:
+    """Without decay, an idle back end of six got none of 60 requests a second while observed."""
     services = dict.fromkeys((1, 2, 3), "s") | {4: "other"}
     totals = [
         fleet_load.BackendTotal(1, 0, 0.05, answered_at=10.0),
@@ -103,7 +103,7 @@
     assert late[1:] == pytest.approx([0.02, 0.02, 0.30], rel=0.1)
 
 
-def test_an_answer_after_a_long_silence_counts_for_more_than_what_was_known() -> None:
+def test_a_response_after_a_long_pause_outweighs_the_known_service_time() -> None:
     leader = fleet_load.FleetLoad()
     slow, fast = (fleet_load.BackendReport(1, 0, 1, time) for time in (0.05, 0.02))
     leader.record_report("n", [slow], 10.0)
@@ -113,7 +113,7 @@
     assert leader.service_time(1) == pytest.approx(0.02, abs=0.002)
 
 
-def test_what_a_new_leader_was_told_is_believed_from_then_on() -> None:
+def test_a_new_leaders_initial_service_times_count_as_fresh() -> None:
     leader = fleet_load.FleetLoad()
     leader.initialize({1: 0.05, 2: 0.02}, 100.0)
     totals = leader.totals([1, 2])
--- a/tests/unit/test_owner_changes.py
+++ b/tests/unit/test_owner_changes.py
@@ -1,4 +1,4 @@
-"""Owners told as changes: each node ends with the leader's map, whatever it knew."""
+"""Owners sent as changes: each node ends with the leader's map, whatever it knew before."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return [item.owner(key) for key in range(KEYS)]
 
 
-def test_one_move_is_told_as_one_range() -> None:
+def test_one_move_is_sent_as_one_range() -> None:
     published = owner_changes.PublishedOwners()
     sent: dict[str, owners.OwnerMap] = {}
     first = map_of(1, (0, 99, "a"), (100, 199, "b"))
@@ -34,7 +34,7 @@
     assert published.updates_since(sent) == []
 
 
-def test_changes_since_what_a_node_does_not_know_are_refused() -> None:
+def test_changes_since_a_version_that_a_node_does_not_know_are_refused() -> None:
     published = owner_changes.PublishedOwners()
     sent = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
     published.publish("s", map_of(2, (0, 98, "a"), (99, 199, "b")))
@@ -43,14 +43,14 @@
         owner_changes.read_owners(message, map_of(5, (0, 199, "z")))
 
 
-def test_a_change_of_everything_is_told_whole() -> None:
+def test_a_change_of_all_owners_is_sent_as_a_complete_map() -> None:
     published = owner_changes.PublishedOwners()
     sent = {"s": map_of(1, (0, 99, "a"), (100, 199, "b"))}
     published.publish("s", map_of(2, (0, 199, "c")))
     assert published.updates_since(sent)[0].base_version == 0
 
 
-def test_the_end_of_a_lost_owners_lease_is_told_on_the_readers_clock() -> None:
+def test_the_end_of_a_lost_owners_lease_is_converted_to_the_readers_clock() -> None:
     published = owner_changes.PublishedOwners()
     sent: dict[str, owners.OwnerMap] = {}
     published.publish("s", map_of(1, (0, 99, "a"), (100, 199, "b")))
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_nodes_that_miss_versions_end_with_the_newest(seed: int) -> None:
+def test_nodes_that_miss_versions_reach_the_newest(seed: int) -> None:
     source = random.Random(seed)
     published = owner_changes.PublishedOwners()
     known = [owners.OwnerMap() for _ in range(3)]
--- a/tests/unit/test_permit_exchange.py
+++ b/tests/unit/test_permit_exchange.py
@@ -1,4 +1,4 @@
-"""How nodes ask for permits and tell each other of limits: messages, lost leaders, bad input."""
+"""Exchange of permits and limit statements between nodes: messages, lost leaders, bad input."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert await exchange().request(REQUEST) == NO_LEADER_RESPONSE
 
 
-async def test_a_leader_lends_to_others_and_itself_from_one_allowance() -> None:
+async def test_a_leader_issues_permits_to_others_and_itself_from_one_allowance() -> None:
     leader, follower = exchange(leads=True), exchange()
     follower.handle_connected(True)
     responses: list[PermitResponse] = []
@@ -70,7 +70,7 @@
     assert follower.take_requests() is None
 
 
-async def test_what_was_asked_on_a_connection_that_ends_is_not_waited_for() -> None:
+async def test_permit_requests_on_a_connection_that_ends_stop_waiting() -> None:
     node = exchange()
     node.handle_connected(True)
     responses: list[PermitResponse] = []
@@ -82,7 +82,7 @@
     assert node.take_requests() is None
 
 
-async def test_a_late_answer_of_a_leader_changes_nothing() -> None:
+async def test_a_late_response_of_a_leader_is_ignored() -> None:
     node = exchange()
     node.handle_connected(True)
     assert await node.request(REQUEST) == NO_LEADER_RESPONSE
@@ -90,7 +90,7 @@
     node.handle_responses(control_pb2.PermitAnswers(answers=[late]))
 
 
-async def test_so_many_requests_wait_for_permits_and_no_more() -> None:
+async def test_the_number_of_waiting_permit_requests_is_limited() -> None:
     node = exchange()
     node.handle_connected(True)
     responses: list[PermitResponse] = []
@@ -104,20 +104,20 @@
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -1.0])
-async def test_a_rate_that_makes_no_sense_is_taken_for_the_lowest(rate: float) -> None:
+async def test_an_invalid_rate_counts_as_the_lowest(rate: float) -> None:
     leader = exchange(leads=True)
     ask = control_pb2.PermitAsk(number=1, backend="a", rate=rate, patience=0)
-    answers = [
+    lent = [
         item.lent
         for _ in range(20)
         for item in leader.handle_requests(
             control_pb2.PermitAsks(asks=[ask]), steady_clock()
         ).answers
     ]
-    assert sum(answers) <= 1
+    assert sum(lent) <= 1
 
 
-async def test_a_node_that_leads_no_more_lends_no_more() -> None:
+async def test_a_node_that_no_longer_leads_issues_no_permits() -> None:
     node = exchange(leads=True)
     election = node._issuer._election
     election.resign()
@@ -126,8 +126,8 @@
     assert await node.request(REQUEST) == NO_LEADER_RESPONSE
 
 
-def told(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
-    """What another node believes that is told of a statement."""
+def ledger_after_update(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
+    """Return the ledger of another node that received a statement."""
     ours, theirs = LimitLedger(), LimitLedger()
     ours.record("a", LimitStatement(1.0, -9.0, -8.0))
     ours.record("a", statement)
@@ -137,8 +137,8 @@
     return theirs
 
 
-async def test_limits_are_told_with_their_age_on_another_clock() -> None:
-    theirs = told(LimitStatement(0.3, 10.0, 10.25), sent=11.0, received=501.0)
+async def test_limits_are_sent_with_their_age_and_read_on_the_receivers_clock() -> None:
+    theirs = ledger_after_update(LimitStatement(0.3, 10.0, 10.25), sent=11.0, received=501.0)
     assert theirs.rate("a") == 0.3
     theirs.record("a", LimitStatement(None, 500.2, 501.1))
     assert theirs.rate("a") == 0.3
@@ -146,7 +146,7 @@
     assert theirs.rate("a") is None
 
 
-async def test_a_lifted_limit_is_told_too() -> None:
+async def test_a_lifted_limit_is_sent_too() -> None:
     ours, theirs = LimitLedger(), LimitLedger()
     at_ours, at_theirs = limit_updates.LimitUpdatePeer(ours), limit_updates.LimitUpdatePeer(theirs)
     for statement in (LimitStatement(3.0, 1.0, 1.1), LimitStatement(None, 2.0, 2.1)):
@@ -161,8 +161,8 @@
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -0.1, 2e9])
-async def test_a_told_limit_that_no_back_end_names_changes_nothing(rate: float) -> None:
+async def test_a_received_limit_that_is_out_of_range_is_ignored(rate: float) -> None:
     ledger = LimitLedger()
-    news = control_pb2.LimitNews(backend="a", rate=rate)
-    limit_updates.LimitUpdatePeer(ledger).apply(control_pb2.Report(limits=[news]), 1.0)
+    update = control_pb2.LimitNews(backend="a", rate=rate)
+    limit_updates.LimitUpdatePeer(ledger).apply(control_pb2.Report(limits=[update]), 1.0)
     assert ledger.limited() == {}
--- a/tests/unit/test_table_exchange.py
+++ b/tests/unit/test_table_exchange.py
@@ -1,4 +1,4 @@
-"""Nodes that the store refuses learn of changes from others: replicas and what they exchange."""
+"""Nodes that the store refuses receive changes from others: replicas and their updates."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @dataclasses.dataclass
-class Held:
-    """What a replica told its user."""
+class ReplicaUser:
+    """Values that a replica has passed to its user."""
 
     values: dict[str, bytes] = dataclasses.field(default_factory=dict)
     completions: int = 0
@@ -33,17 +33,17 @@
 
 
 class Node:
-    """A watcher that never runs: the test is its store."""
+    """A node whose watcher never runs: the test takes the part of the store."""
 
     def __init__(self) -> None:
-        self.held = Held()
+        self.user = ReplicaUser()
         follower = watchers.TableFollower(
-            "t", self.held.put, self.held.remove, self.held.complete, 0.0, 20.0
+            "t", self.user.put, self.user.remove, self.user.complete, 0.0, 20.0
         )
         self.watcher = watchers.TableWatcher(test_watchers.ScriptedStore(), follower)
         self.watcher.set_feeds(feeds.FeedMode.PERMANENT)
         self.replica = self.watcher.replica
-        self.news = table_exchange.TableExchange([self.watcher])
+        self.exchange = table_exchange.TableExchange([self.watcher])
 
     def learns(self, now: float, *entries: replica.Entry) -> None:
         self.replica.apply_changes(entries, replica.Source.STORE, now)
@@ -57,29 +57,29 @@
 
 
 def exchange(leader: Node, follower: Node, now: float) -> int:
-    """One report and one status on a connection that is old; return how many entries were told."""
+    """Exchange a report and a status on an old connection; return the size of the sent entries."""
     at_leader, at_follower = table_exchange.PeerTables(0.0), table_exchange.PeerTables(0.0)
     report, status = control_pb2.Report(), control_pb2.Status()
-    follower.news.fill(report, at_follower, now)
-    leader.news.apply(report, at_leader, now)
-    leader.news.fill(status, at_leader, now)
-    follower.news.apply(status, at_follower, now)
-    return sum(len(told.entries) for told in status.news)
+    follower.exchange.fill(report, at_follower, now)
+    leader.exchange.apply(report, at_leader, now)
+    leader.exchange.fill(status, at_leader, now)
+    follower.exchange.apply(status, at_follower, now)
+    return sum(len(update.entries) for update in status.news)
 
 
-def test_a_node_that_the_store_refuses_hears_of_a_leaving_back_end() -> None:
-    """Found on a day of our own: such nodes heard of it when the store served them again."""
+def test_a_node_that_the_store_refuses_receives_changes_from_the_leader() -> None:
+    """In a test run, they learned of a leaving back end only when the store served them again."""
     leader, refused = Node(), Node()
     for node in (leader, refused):
         node.reads(1.0, 2, entry("a", 1), entry("b", 2))
     leader.learns(5.0, entry("a", 3, b"draining"))
     leader.learns(5.1, entry("b", 4, None))
     exchange(leader, refused, 5.0 + table_exchange.FEED_GRACE + 0.2)
-    assert refused.held.values == {"a": b"draining"}
+    assert refused.user.values == {"a": b"draining"}
     assert refused.replica.newest == 4
 
 
-def test_nodes_that_the_store_serves_are_told_nothing() -> None:
+def test_nodes_that_the_store_serves_are_sent_nothing() -> None:
     leader, served = Node(), Node()
     for node in (leader, served):
         node.reads(1.0, 1, entry("a", 1))
@@ -89,17 +89,17 @@
     assert exchange(leader, served, 9.0 + table_exchange.FEED_GRACE / 2) == 0
 
 
-def test_a_node_that_knows_nothing_is_told_the_table_whole() -> None:
+def test_a_node_with_an_empty_replica_is_sent_a_snapshot() -> None:
     leader, new = Node(), Node()
     leader.reads(1.0, 5, entry("a", 1), entry("b", 5))
     leader.learns(2.0, entry("a", 6, None))
     exchange(leader, new, 9.0)
-    assert new.held.values == {"b": b"x"}
-    assert new.held.completions == 1
+    assert new.user.values == {"b": b"x"}
+    assert new.user.completions == 1
     assert new.replica.is_complete
 
 
-def test_who_missed_what_is_forgotten_is_told_the_table_whole(
+def test_a_node_that_missed_forgotten_changes_is_sent_a_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(replica, "MOST_DROPPED", 3)
@@ -109,40 +109,40 @@
     for number in range(1, 9):
         leader.learns(2.0, entry(f"k{number}", 10 + number, None))
     exchange(leader, behind, 9.0)
-    assert behind.held.values == {"k9": b"x"}
+    assert behind.user.values == {"k9": b"x"}
 
 
-def test_what_another_node_told_is_passed_on_at_once() -> None:
+def test_changes_from_another_node_are_passed_on_immediately() -> None:
     leader, refused = Node(), Node()
     for node in (leader, refused):
         node.reads(1.0, 1, entry("a", 1))
     leader.watcher.handle_update(replica.TableUpdate("t", (entry("a", 2, b"new"),), 2), 9.0)
     exchange(leader, refused, 9.0)
-    assert refused.held.values == {"a": b"new"}
+    assert refused.user.values == {"a": b"new"}
 
 
-def test_a_new_connection_waits_until_the_other_node_can_have_read() -> None:
+def test_a_new_connection_gives_the_other_node_time_to_read_the_store() -> None:
     leader = Node()
     leader.reads(1.0, 1, entry("a", 1))
     peer = table_exchange.PeerTables(since=9.0, newest={"t": 0})
     status = control_pb2.Status()
-    leader.news.fill(status, peer, 9.0 + table_exchange.FEED_GRACE / 2)
+    leader.exchange.fill(status, peer, 9.0 + table_exchange.FEED_GRACE / 2)
     assert not status.news
 
 
-def told_whole(leader: Node, now: float, followers: int) -> int:
-    """So many nodes without feeds connect at the same time; return how many are told."""
-    told = 0
+def snapshots_sent(leader: Node, now: float, followers: int) -> int:
+    """Connect nodes without feeds at the same time; return how many are sent a snapshot."""
+    count = 0
     for _ in range(followers):
         peer = table_exchange.PeerTables(now, {"t": 0}, keeps_feeds=False)
         status = control_pb2.Status()
-        leader.news.fill(status, peer, now)
-        told += len(status.news)
-    return told
+        leader.exchange.fill(status, peer, now)
+        count += len(status.news)
+    return count
 
 
 def large_table(rows_count: int) -> list[replica.Entry]:
-    """Rows as back ends write them: most of each is alike."""
+    """Return rows like those of back ends, which are mostly alike."""
     text = (
         b'{"address":"10.1.64.%d:8648","info":{"backend":"s","version":"v1","slots":2,"zone":"z"}}'
     )
@@ -152,44 +152,44 @@
     ]
 
 
-def test_a_fleet_that_starts_is_told_the_tables_by_its_leader() -> None:
-    """Found on zhbs-gate-large: 195 nodes read 300 rows from the store each time they started."""
+def test_a_starting_fleet_is_sent_the_tables_by_its_leader() -> None:
+    """On zhbs-gate-large, 195 nodes read 300 rows from the store each time they started."""
     leader = Node()
-    leader.news = table_exchange.TableExchange([leader.watcher], link=12.5e6)
+    leader.exchange = table_exchange.TableExchange([leader.watcher], link=12.5e6)
     leader.reads(1.0, 300, *large_table(300))
     assert leader.replica.update_for(0, 1.0) is not None
-    assert told_whole(leader, 1.2, 195) == 195
+    assert snapshots_sent(leader, 1.2, 195) == 195
 
 
-def test_a_leader_with_a_narrow_link_tells_them_one_after_the_other() -> None:
+def test_a_leader_with_a_slow_link_spreads_snapshots_over_time() -> None:
     leader = Node()
-    leader.news = table_exchange.TableExchange([leader.watcher], link=0.25e6)
+    leader.exchange = table_exchange.TableExchange([leader.watcher], link=0.25e6)
     leader.reads(1.0, 300, *large_table(300))
-    at_once = told_whole(leader, 1.2, 195)
+    at_once = snapshots_sent(leader, 1.2, 195)
     assert 0 < at_once < 100
-    assert 0 < told_whole(leader, 1.7, 195) <= at_once
+    assert 0 < snapshots_sent(leader, 1.7, 195) <= at_once
 
 
-def test_a_table_that_is_too_large_is_left_to_the_store(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_table_that_is_too_large_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(table_exchange, "MAX_UPDATE_SIZE", 1_000)
     leader = Node()
     leader.reads(1.0, 300, *large_table(300))
-    assert told_whole(leader, 1.2, 3) == 0
+    assert snapshots_sent(leader, 1.2, 3) == 0
 
 
-def test_an_older_answer_of_the_store_takes_nothing_back() -> None:
+def test_an_older_read_of_the_store_reverts_nothing() -> None:
     node = Node()
     node.reads(1.0, 2, entry("a", 1), entry("b", 2))
     node.watcher.handle_update(
         replica.TableUpdate("t", (entry("a", 5, b"new"), entry("c", 6)), 6), 2.0
     )
     node.reads(3.0, 4, entry("a", 4, b"old"))
-    assert node.held.values == {"a": b"new", "c": b"x"}
+    assert node.user.values == {"a": b"new", "c": b"x"}
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_replicas_agree_whoever_tells(seed: int) -> None:
-    """Random changes; each node hears of each from the store or, when refused, from the leader."""
+def test_replicas_agree_whatever_the_source_of_changes(seed: int) -> None:
+    """Random changes; each node learns each from the store or, when refused, from the leader."""
     random_source = random.Random(seed)
     nodes = [Node() for _ in range(4)]
     for node in nodes:
@@ -212,13 +212,13 @@
         leader = nodes[0]
         for node in nodes[1:]:
             exchange(leader, node, now + table_exchange.FEED_GRACE + 0.1)
-            assert node.held.values == leader.held.values
+            assert node.user.values == leader.user.values
             assert node.replica.newest == leader.replica.newest
 
 
-def test_news_that_cannot_be_unpacked_ends_the_connection() -> None:
-    told = control_pb2.Status(news=[control_pb2.TableNews(table="t", entries=b"no zlib")])
+def test_an_update_that_cannot_be_decompressed_is_refused() -> None:
+    status = control_pb2.Status(news=[control_pb2.TableNews(table="t", entries=b"no zlib")])
     with pytest.raises(errors.PeerProtocolError):
         table_exchange.TableExchange((Node().watcher,)).apply(
-            told, table_exchange.PeerTables(0.0), 0.0
+            status, table_exchange.PeerTables(0.0), 0.0
         )
--- a/tests/unit/test_telling.py
+++ b/tests/unit/test_telling.py
@@ -1,4 +1,4 @@
-"""What a leader tells nodes of back ends, and how often."""
+"""Statuses that a leader sends to nodes: totals of back ends, and the interval."""
 
 from __future__ import annotations
 
@@ -35,37 +35,37 @@
     return host, node
 
 
-def test_every_node_is_told_of_every_back_end_whether_its_answers_tell_a_load_or_not() -> None:
-    """Found on zhbs-gate-large quiet-1: what was told hung on which answers the leader had had.
+def test_totals_include_every_back_end_whether_or_not_it_reports_its_load() -> None:
+    """On zhbs-gate-large quiet-1, totals depended on which responses the leader had received.
 
-    Of the other back ends every node believed the same old sums, over its own newer answers, and
-    all nodes took the same one: it got 31 times the mean.
+    For the other back ends every node preferred the same old totals to its own newer responses, and
+    all nodes chose the same back end, which got 31 times the mean.
     """
     host, node = leader()
-    for name in ("silent", "tells"):
+    for name in ("silent", "reporting"):
         node.directory.put(Backend(name, "s", "127.0.0.1:1", "z1", 4), 0.0)
-    tells = node.directory.find("tells")
-    assert tells is not None
-    tells.record_load(LoadReport(1, 0, 4), 0.0)
-    tells.outstanding = 2
+    reporting = node.directory.find("reporting")
+    assert reporting is not None
+    reporting.record_load(LoadReport(1, 0, 4), 0.0)
+    reporting.outstanding = 2
     host.loads.refresh(1.0)
     message = host.loads.totals_for(backend_loads.SentTotals())
     assert message is not None
-    told = backend_loads.TotalsReader().read(message)
-    assert {item.backend: item.outstanding for item in told} == {
+    totals = backend_loads.TotalsReader().read(message)
+    assert {item.backend: item.outstanding for item in totals} == {
         backend_loads.backend_hash("silent"): 0,
-        backend_loads.backend_hash("tells"): 2,
+        backend_loads.backend_hash("reporting"): 2,
     }
 
 
-def test_a_follower_tells_nobody_of_back_ends() -> None:
+def test_a_follower_sends_no_totals() -> None:
     host, _ = leader()
     assert host.loads.totals_for(backend_loads.SentTotals()) is None
 
 
-@pytest.mark.parametrize(("followers", "longest"), [(10, 0.02), (77, 0.12), (489, 0.3)])
-def test_no_node_waits_for_the_leaders_word_until_it_takes_it_for_lost(
-    followers: int, longest: float
+@pytest.mark.parametrize(("followers", "max_pause"), [(10, 0.02), (77, 0.12), (489, 0.3)])
+def test_the_interval_of_statuses_stays_below_the_leader_timeout(
+    followers: int, max_pause: float
 ) -> None:
     host, _ = leader()
     connections = FollowerConnections(
@@ -73,5 +73,5 @@
     )
     connections.node_count = lambda: followers + 1  # type: ignore[method-assign]
     pause = connections._status_pause()
-    assert pause <= longest
+    assert pause <= max_pause
     assert pause + TIMING.heartbeat_interval < TIMING.leader_silence
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -1,4 +1,4 @@
-"""A table's follower against a store that goes silent, forgets and loses rows."""
+"""Table watchers with a store that stops responding, drops its history and loses rows."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ScriptedStore(RowStore):
-    """A store whose feed does what the test says."""
+    """A store whose feed is controlled by the test."""
 
     def __init__(self) -> None:
         self.rows: dict[str, StoredRow] = {}
@@ -87,7 +87,7 @@
 
 
 class Copy:
-    """What the follower was told."""
+    """Keys that the watcher has passed to its user."""
 
     def __init__(self) -> None:
         self.keys: set[str] = set()
@@ -107,8 +107,8 @@
         self.completions += 1
 
 
-def followed(store: ScriptedStore, copy: Copy) -> TableWatcher:
-    """A watcher that keeps a feed."""
+def watcher_with_feed(store: ScriptedStore, copy: Copy) -> TableWatcher:
+    """Return a watcher that keeps a feed."""
     watcher = TableWatcher(store, copy.follower())
     watcher.set_feeds(feeds.FeedMode.PERMANENT)
     return watcher
@@ -119,10 +119,10 @@
         await anyio.lowlevel.checkpoint()
 
 
-async def test_it_follows_changes() -> None:
+async def test_a_watcher_receives_changes() -> None:
     store, copy = ScriptedStore(), Copy()
     store.put("a")
-    watcher = followed(store, copy)
+    watcher = watcher_with_feed(store, copy)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
         await settle()
@@ -133,12 +133,12 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_forgotten_history_is_read_whole_and_lost_rows_go() -> None:
+async def test_a_table_is_read_again_after_its_history_is_gone_and_lost_rows_are_removed() -> None:
     store, copy = ScriptedStore(), Copy()
     store.put("a")
     store.put("b")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed(store, copy).run)
+        tasks.start_soon(watcher_with_feed(store, copy).run)
         await settle()
         del store.rows["a"]
         store.fail(HistoryGone())
@@ -148,11 +148,11 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_feed_that_hangs_is_given_up_when_another_node_has_seen_more() -> None:
-    """Found on trouble-1 of the second site: a feed died in a cut and was waited for 14 s."""
+async def test_a_hanging_feed_is_abandoned_when_another_node_has_a_newer_version() -> None:
+    """On trouble-1 of the second site, a feed died in a network cut and was waited on for 14 s."""
     store, copy = ScriptedStore(), Copy()
     store.put("a")
-    watcher = followed(store, copy)
+    watcher = watcher_with_feed(store, copy)
     async with anyio.create_task_group() as tasks:
         store.silent = True
         tasks.start_soon(watcher.run)
@@ -169,10 +169,10 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_lag_that_was_made_up_is_forgotten() -> None:
+async def test_a_feed_that_has_caught_up_is_not_abandoned() -> None:
     store, copy = ScriptedStore(), Copy()
     store.put("a")
-    watcher = followed(store, copy)
+    watcher = watcher_with_feed(store, copy)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
         await settle()
@@ -186,10 +186,10 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_store_that_is_away_is_waited_for() -> None:
+async def test_calls_are_retried_while_the_store_is_unavailable() -> None:
     store, copy = ScriptedStore(), Copy()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed(store, copy).run)
+        tasks.start_soon(watcher_with_feed(store, copy).run)
         await settle()
         store.fail(StoreUnavailable("ReadTimeout"))
         await settle()
@@ -199,7 +199,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_without_a_feed_the_store_is_read_only_when_another_node_has_seen_more() -> None:
+async def test_without_a_feed_the_store_is_read_only_when_another_node_is_ahead() -> None:
     store, copy = ScriptedStore(), Copy()
     store.put("a")
     watcher = TableWatcher(store, copy.follower())
@@ -209,7 +209,7 @@
         assert store.reads == 0
         watcher.handle_peer_version(1, 10.0)
         await settle()
-        assert store.reads == 0, "the other node tells what is new"
+        assert store.reads == 0, "the other node sends the changes"
         watcher.handle_peer_version(1, 10.0 + MAX_LAG + 0.1)
         await settle()
         assert (copy.keys, store.reads) == ({"a"}, 1)
@@ -224,10 +224,10 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_feed_that_is_taken_up_again_goes_on_from_what_is_known() -> None:
+async def test_a_resumed_feed_continues_from_the_known_version() -> None:
     store, copy = ScriptedStore(), Copy()
     store.put("a")
-    watcher = followed(store, copy)
+    watcher = watcher_with_feed(store, copy)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
         await settle()
@@ -242,11 +242,11 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_feed_that_died_with_the_leader_gone_is_found() -> None:
-    """Found on a drawn day of zhbs-gate-grown: the feed died in an outage, then the leader did."""
+async def test_a_dead_feed_is_replaced_by_a_restart() -> None:
+    """In a random scenario of zhbs-gate-grown, the feed died in an outage, and then the leader."""
     store, copy = ScriptedStore(), Copy()
     store.put("a")
-    watcher = followed(store, copy)
+    watcher = watcher_with_feed(store, copy)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(watcher.run)
         await settle()
@@ -265,7 +265,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_call_waits_briefly_when_nobody_would_show_a_dead_feed() -> None:
+async def test_calls_of_a_temporary_feed_wait_for_a_shorter_time() -> None:
     store, copy = ScriptedStore(), Copy()
     watcher = TableWatcher(store, copy.follower())
     async with anyio.create_task_group() as tasks:
@@ -278,8 +278,8 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_brief_feed_joins_changes_for_as_long_as_it_is_told() -> None:
-    """Found on zhbs-gate-large: each change woke the feeds of all 195 nodes, 10,500 calls a day."""
+async def test_a_temporary_feed_batches_changes_during_its_pause() -> None:
+    """On zhbs-gate-large, each change woke the feeds of all 195 nodes: 10,500 calls a day."""
     calls = []
     for pause in (0.0, 3600.0):
         store, copy = ScriptedStore(), Copy()
@@ -297,7 +297,9 @@
 
 
 @pytest.mark.parametrize(("nodes", "pause"), [(1, 0.0), (11, 0.04), (195, 0.65), (490, 0.8)])
-def test_the_more_nodes_there_are_the_less_often_each_calls(nodes: int, pause: float) -> None:
+def test_the_pause_of_temporary_feeds_grows_with_the_number_of_nodes(
+    nodes: int, pause: float
+) -> None:
     policy = feeds.FeedPolicy(0.0)
     policy.handle_status(False, 0.0, 1.0, nodes)
     assert policy.temporary_feed_pause() == pytest.approx(pause, abs=0.01)
