--- a/src/limedeck/node/control.py
+++ b/src/limedeck/node/control.py
@@ -111,9 +111,9 @@
         state.directory.limits.on_change = self._handle_statement
         state.directory.leaving.on_change = self._handle_statement
         self.on_store_back: Callable[[], None] = lambda: None
-        self._calls = ElectionCalls(self.election, store, telemetry)
-        self._calls.on_store_back = lambda: self.on_store_back()
-        self._calls.on_leader = lambda: self.on_leader()
+        self._election_calls = ElectionCalls(self.election, store, telemetry)
+        self._election_calls.on_store_back = lambda: self.on_store_back()
+        self._election_calls.on_leader = lambda: self.on_leader()
         self._identity = identity
         self._state = state
         self._store = store
@@ -150,7 +150,7 @@
     @property
     def store_offset(self) -> Seconds:
         """The store's clock minus this node's clock."""
-        return self._calls.store_offset
+        return self._election_calls.store_offset
 
     def leader_condition(self) -> RowCondition:
         """Return a condition that holds in the store as long as this node leads."""
@@ -245,7 +245,7 @@
     def _tick(self, now: Seconds) -> None:
         command = self.election.handle_tick(now)
         if command is not None:
-            self._start(self._calls.execute, command)
+            self._start(self._election_calls.execute, command)
         self.permits.handle_tick(now)
         if not self.leads:
             self._end_leadership()
--- a/src/limedeck/node/followers.py
+++ b/src/limedeck/node/followers.py
@@ -1,4 +1,4 @@
-"""Connections that other nodes keep to this one, on which it sends them statuses while it leads."""
+"""Connections that other nodes keep to this one, on which it sends them its status."""
 
 from __future__ import annotations
 
