--- a/tests/unit/test_permit_exchange.py
+++ b/tests/unit/test_permit_exchange.py
@@ -1,4 +1,4 @@
-"""How nodes ask for permits and tell each other of limits: messages, lost leaders, bad input."""
+"""Exchange of permits and limit statements between nodes: messages, lost leaders, bad input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from limedeck.ownership.timing import OwnershipTiming
 
 pytestmark = pytest.mark.anyio
-ASK = PermitRequest(RateBound("a", 4.2), 0.04)
+REQUEST = PermitRequest(RateBound("a", 4.2), 0.04)
 
 
 @pytest.fixture
@@ -44,86 +44,90 @@
     return made
 
 
-async def asked_of(node: permit_exchange.PermitExchange, answers: list[PermitResponse]) -> None:
-    answers.append(await node.request(ASK))
+async def request_permit(
+    node: permit_exchange.PermitExchange, responses: list[PermitResponse]
+) -> None:
+    responses.append(await node.request(REQUEST))
 
 
 async def test_without_a_leader_there_are_no_permits() -> None:
-    assert await exchange().request(ASK) == NO_LEADER_RESPONSE
+    assert await exchange().request(REQUEST) == NO_LEADER_RESPONSE
 
 
-async def test_a_leader_lends_to_others_and_itself_from_one_allowance() -> None:
+async def test_a_leader_issues_permits_to_others_and_itself_from_one_allowance() -> None:
     leader, follower = exchange(leads=True), exchange()
     follower.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(asked_of, follower, answers)
+        tasks.start_soon(request_permit, follower, responses)
         await anyio.wait_all_tasks_blocked()
-        asks = follower.take_asks()
-        assert asks is not None
-        follower.handle_answers(leader.answer(asks, steady_clock()))
-    (answer,) = answers
-    assert isinstance(answer, Permit)
-    assert isinstance(await leader.request(ASK), PermitDenied)
-    assert follower.take_asks() is None
+        requests = follower.take_requests()
+        assert requests is not None
+        follower.handle_responses(leader.handle_requests(requests, steady_clock()))
+    (response,) = responses
+    assert isinstance(response, Permit)
+    assert isinstance(await leader.request(REQUEST), PermitDenied)
+    assert follower.take_requests() is None
 
 
-async def test_what_was_asked_on_a_connection_that_ends_is_not_waited_for() -> None:
+async def test_permit_requests_on_a_connection_that_ends_stop_waiting() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(asked_of, node, answers)
+        tasks.start_soon(request_permit, node, responses)
         await anyio.wait_all_tasks_blocked()
         node.handle_connected(False)
-    assert answers == [NO_LEADER_RESPONSE]
-    assert node.take_asks() is None
+    assert responses == [NO_LEADER_RESPONSE]
+    assert node.take_requests() is None
 
 
-async def test_a_late_answer_of_a_leader_changes_nothing() -> None:
+async def test_a_late_response_of_a_leader_is_ignored() -> None:
     node = exchange()
     node.handle_connected(True)
-    assert await node.request(ASK) == NO_LEADER_RESPONSE
+    assert await node.request(REQUEST) == NO_LEADER_RESPONSE
     late = control_pb2.PermitAnswer(number=1, lent=True)
-    node.handle_answers(control_pb2.PermitAnswers(answers=[late]))
+    node.handle_responses(control_pb2.PermitAnswers(answers=[late]))
 
 
-async def test_so_many_requests_wait_for_permits_and_no_more() -> None:
+async def test_the_number_of_waiting_permit_requests_is_limited() -> None:
     node = exchange()
     node.handle_connected(True)
-    answers: list[PermitResponse] = []
+    responses: list[PermitResponse] = []
     async with anyio.create_task_group() as tasks:
-        for _ in range(permit_exchange.MOST_WAITING):
-            tasks.start_soon(asked_of, node, answers)
+        for _ in range(permit_exchange.MAX_WAITING):
+            tasks.start_soon(request_permit, node, responses)
         await anyio.wait_all_tasks_blocked()
-        assert await node.request(ASK) == NO_LEADER_RESPONSE
+        assert await node.request(REQUEST) == NO_LEADER_RESPONSE
         node.handle_connected(False)
-    assert answers == [NO_LEADER_RESPONSE] * permit_exchange.MOST_WAITING
+    assert responses == [NO_LEADER_RESPONSE] * permit_exchange.MAX_WAITING
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -1.0])
-async def test_a_rate_that_makes_no_sense_is_taken_for_the_lowest(rate: float) -> None:
+async def test_an_invalid_rate_counts_as_the_lowest(rate: float) -> None:
     leader = exchange(leads=True)
     ask = control_pb2.PermitAsk(number=1, backend="a", rate=rate, patience=0)
-    answers = [
+    lent = [
         item.lent
         for _ in range(20)
-        for item in leader.answer(control_pb2.PermitAsks(asks=[ask]), steady_clock()).answers
+        for item in leader.handle_requests(
+            control_pb2.PermitAsks(asks=[ask]), steady_clock()
+        ).answers
     ]
-    assert sum(answers) <= 1
+    assert sum(lent) <= 1
 
 
-async def test_a_node_that_leads_no_more_lends_no_more() -> None:
+async def test_a_node_that_no_longer_leads_issues_no_permits() -> None:
     node = exchange(leads=True)
-    election = node._lending._election
+    election = node._issuer._election
     election.resign()
     newer = control_pb2.LeaderRecord(node_id="m", incarnation=2, term=2)
     election.handle_peer_record(newer, 2, steady_clock())
-    assert await node.request(ASK) == NO_LEADER_RESPONSE
+    assert await node.request(REQUEST) == NO_LEADER_RESPONSE
 
 
-def told(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
-    """What another node believes that is told of a statement."""
+def ledger_after_update(statement: LimitStatement, sent: float, received: float) -> LimitLedger:
+    """Return the ledger of another node that received a statement."""
     ours, theirs = LimitLedger(), LimitLedger()
     ours.record("a", LimitStatement(1.0, -9.0, -8.0))
     ours.record("a", statement)
@@ -133,8 +137,8 @@
     return theirs
 
 
-async def test_limits_are_told_with_their_age_on_another_clock() -> None:
-    theirs = told(LimitStatement(0.3, 10.0, 10.25), sent=11.0, received=501.0)
+async def test_limits_are_sent_with_their_age_and_read_on_the_receivers_clock() -> None:
+    theirs = ledger_after_update(LimitStatement(0.3, 10.0, 10.25), sent=11.0, received=501.0)
     assert theirs.rate("a") == 0.3
     theirs.record("a", LimitStatement(None, 500.2, 501.1))
     assert theirs.rate("a") == 0.3
@@ -142,7 +146,7 @@
     assert theirs.rate("a") is None
 
 
-async def test_a_lifted_limit_is_told_too() -> None:
+async def test_a_lifted_limit_is_sent_too() -> None:
     ours, theirs = LimitLedger(), LimitLedger()
     at_ours, at_theirs = limit_updates.LimitUpdatePeer(ours), limit_updates.LimitUpdatePeer(theirs)
     for statement in (LimitStatement(3.0, 1.0, 1.1), LimitStatement(None, 2.0, 2.1)):
@@ -157,8 +161,8 @@
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf"), -0.1, 2e9])
-async def test_a_told_limit_that_no_back_end_names_changes_nothing(rate: float) -> None:
+async def test_a_received_limit_that_is_out_of_range_is_ignored(rate: float) -> None:
     ledger = LimitLedger()
-    news = control_pb2.LimitNews(backend="a", rate=rate)
-    limit_updates.LimitUpdatePeer(ledger).apply(control_pb2.Report(limits=[news]), 1.0)
+    update = control_pb2.LimitNews(backend="a", rate=rate)
+    limit_updates.LimitUpdatePeer(ledger).apply(control_pb2.Report(limits=[update]), 1.0)
     assert ledger.limited() == {}
