--- a/src/limedeck/forwarding/availability.py
+++ b/src/limedeck/forwarding/availability.py
@@ -114,7 +114,7 @@
         if backing_off is not None:
             return backing_off
         if state.is_cold(now):
-            return Unavailable(backend.backend_id, UnavailableCause.COLD, state.cold_for(now))
+            return Unavailable(backend.backend_id, UnavailableCause.COLD, state.remaining_cold_time(now))
         return None
 
     def check_backoff(self, state: BackendState, now: Seconds) -> Unavailable | None:
--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -1,4 +1,4 @@
-"""What a node knows of one back end: its entry, its load, how fast it answers, its failures."""
+"""A node's state of one back end: its entry, load, service time and failures."""
 
 from __future__ import annotations
 
@@ -11,63 +11,66 @@
 from limedeck.model import Backend
 
 LATENCY_SMOOTHING = 0.15
-"""Weight of one answer in a back end's service time; some seven answers show that it slowed."""
-LOAD_MEMORY: Seconds = 0.5
-"""After so long, a load that an answer told counts for a third only."""
+"""Weight of one response in a back end's service time; about seven responses show a slowdown."""
+LOAD_DECAY_TIME: Seconds = 0.5
+"""Time after which a load reported in a response counts only for a third."""
 FLEET_LOAD_LIFE: Seconds = 1.5
-"""What other nodes have at a back end is believed for so long: several reports may be missed."""
-SUM_AGE: Seconds = 0.25
-"""Nodes' requests were counted so long before the leader tells their sum: the mean of the intervals
-at which nodes report and the leader adds up."""
-GROWTH_CERTAINTY = 2.0
-"""Requests added to both counts from which growth is told, since small counts change by chance."""
-LARGEST_GROWTH = 3.0
-"""Other nodes' requests are believed to have grown or shrunk so many times at most."""
+"""How long data sent by the leader about a back end is used; several reports may be missed."""
+FLEET_LOAD_AGE: Seconds = 0.25
+"""Age of the nodes' request counts when the leader sends their sum: the mean of the intervals at
+which nodes report and the leader adds up."""
+GROWTH_SMOOTHING_REQUESTS = 2.0
+"""Added to both counts from which growth is estimated, since small counts change by chance."""
+MAX_GROWTH = 3.0
+"""Largest factor by which other nodes' requests are assumed to have grown or shrunk."""
 FAILURES_TO_EJECT = 2
-"""One failure may be chance."""
+"""Consecutive failures that cause an ejection; a single one may be chance."""
 BASE_EJECTION_TIME: Seconds = 0.5
-"""A back end that failed is tried again after so long; twice as long each time that it fails."""
+"""Duration of a back end's first ejection; doubled for each one that follows."""
 ENDED_REST: Seconds = 4.0
-"""A back end whose process was seen to have ended is taken for cold until its entry changes, for so
-long at most. It is cold when it is back, and says so a second later: hundreds of nodes that tried
-it meanwhile would make it fall over. Above the time in which the entry of one that is gone lapses.
+"""Exit cooldown: how long a back end whose process exited counts as cold, at most, until its entry
+changes. It is cold when it returns, and says so a second later: requests that hundreds of nodes
+sent meanwhile would overload it. Longer than the time in which the entry of an exited one lapses.
 """
 LONGEST_UNHEARD_REST: Seconds = 20.0
-"""While the store is away no entry changes: a rest lasts on until the store is heard, and so long
-after the end was last seen at most. A back end that was back after 2 s and cold for 5 s more got 16
-to 47 requests in a second where 14 are allowed, by five nodes whose rests of `ENDED_REST` were over
-(soak, seed 420021). An estimate, above the time for which back ends say that they are cold; nobody
-could tell a back end that rests so long in vain from one that would fall over."""
+"""Time since the last observed process exit until which exit cooldowns are extended while the store
+is unreachable, since no entry can change then. A back end that returned after 2 s and was cold for
+5 s more got 16 to 47 requests in a second where 14 are allowed, from five nodes whose cooldowns of
+`ENDED_REST` were over (soak, seed 420021). Longer than the time for which back ends say that they
+are cold. A node cannot distinguish a back end that no longer needs the cooldown from one that would
+be overloaded."""
 MAX_EJECTION_TIME: Seconds = 4.0
-"""About as long as back ends that crash are away; a longer one keeps a sound one idle."""
-PACE_MEMORY: Seconds = 0.2
-"""How long its work takes is believed to have gone back by two thirds towards its mean after so
-long: a back end's neighbours on its machine change it several times a second."""
-PACE_SMOOTHING = 0.05
-"""Weight of one answer in a back end's mean pace; some 20 tell the mean of what varies by three."""
-NEARLY_FULL = 0.8
-"""Part of what it holds when full from which a back end is taken to be full: what is believed of it
-fades, and hundreds of requests may be on their way; with `LOAD_MEMORY` for 0.1 s after the word."""
-PLAUSIBLY_FULL = 2.0
-"""A back end that turns requests away with fewer for each slot fails; it is not full."""
+"""About as long as crashed back ends are away; a longer ejection keeps a healthy one idle."""
+SLOWDOWN_DECAY_TIME: Seconds = 0.2
+"""Time in which a slowdown is assumed to return to its mean by two thirds: a back end's neighbours
+on its machine change it several times a second."""
+SLOWDOWN_SMOOTHING = 0.05
+"""Weight of one response in a back end's mean slowdown, which varies by a factor of three; about 20
+responses give the mean."""
+KNOWN_FULL_FRACTION = 0.8
+"""Fraction of `full_at` from which a back end is assumed to be full: its reported load decays, and
+hundreds of requests may be on their way. With `LOAD_DECAY_TIME` it counts as full for 0.1 s after a
+report."""
+MIN_FULL_LOAD_PER_SLOT = 2.0
+"""Requests for each slot from which a rejection shows a full queue; with fewer, it is a failure."""
 FULL_QUEUE = 4.0
-"""Requests for each slot that a back end is taken to hold when it turns one away, at least."""
+"""Requests for each slot that a back end is assumed to have, at least, when it rejects one."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkSample:
-    """What one back end was seen to do since the last report.
+    """What this node observed of one back end since the last report.
 
     Parameters
     ----------
     outstanding
-        Requests of this node that it has not answered.
+        Requests of this node without a response yet.
     answers
-        Whole answers.
+        Complete responses.
     service_time
-        Their mean time in seconds, queues left out; zero without answers.
+        Their mean time in seconds, excluding queueing; zero without responses.
     failures
-        Attempts that failed by its fault.
+        Failed attempts that count as the back end's own fault.
     """
 
     backend_id: str
@@ -78,56 +81,57 @@
 
 
 class BackendState:
-    """One back end as one node sees it.
+    """One node's state of one back end.
 
     Attributes
     ----------
     outstanding
-        Requests of this node that it has not answered.
+        Requests of this node without a response yet.
     service_time
-        Smoothed time to work on one request of the service's present mix, in seconds.
-    tells_load
-        Its answers tell how many requests it has.
+        Smoothed time to process one request of the service's present mix, in seconds.
+    reports_load
+        Whether its responses report how many requests it has.
     full_at
-        Requests that it had when it last turned one away, if it tells; None if it never did.
+        Requests that it had when it last rejected one, if it reports its load; None if it never
+        did.
     draining_since
         When this node learned from its store entry that it is draining; None if it is not.
     turned_away_until
-        No permit for it is to be had until then, as the leader told last.
+        Until when permits for it are denied, by the leader's last response.
     """
 
     def __init__(self, backend: Backend, work: ServiceWork, now: Seconds) -> None:
         self.backend = backend
         self.work = work
-        self.seen_at = now
+        self.first_listed_at = now
         self.cold_rate = 0.0
         self.draining_since: Seconds | None = None
         self._cold_until = now
-        self._ended_at: Seconds = NEVER
-        self._ended_until: Seconds = NEVER
+        self._exited_at: Seconds = NEVER
+        self._exit_cooldown_until: Seconds = NEVER
         self.outstanding = 0
         self.service_time: Seconds | None = None
-        self.tells_load = False
+        self.reports_load = False
         self.failures = 0
         self.ejections = 0
         self.ejected_until: Seconds = NEVER
         self.full_at: float | None = None
         self.turned_away_until: Seconds = NEVER
-        self._others = 0.0
-        self._reported_at: Seconds = NEVER
-        self._pace = 1.0
-        self._mean_pace = 1.0
-        self._elsewhere = 0.0
-        self._elsewhere_at: Seconds = NEVER
-        self._outstanding_told = 0
-        self._answers = 0
-        self._faults = 0
+        self._other_requests = 0.0
+        self._load_reported_at: Seconds = NEVER
+        self._slowdown = 1.0
+        self._mean_slowdown = 1.0
+        self._fleet_load = 0.0
+        self._fleet_load_at: Seconds = NEVER
+        self._reported_outstanding = 0
+        self._responses = 0
+        self._own_faults = 0
         self._work_time: Seconds = 0.0
         self._excluded_until: Seconds = NEVER
 
-    def note_listed(self, now: Seconds) -> None:
-        """Its entry is new or has changed: it is written by the back end itself."""
-        self._ended_until = NEVER
+    def record_listed(self, now: Seconds) -> None:
+        """Record that its entry, which the back end itself writes, is new or has changed."""
+        self._exit_cooldown_until = NEVER
         self._cold_until = now + self.backend.warmup
         if not self.backend.draining:
             self.draining_since = None
@@ -135,37 +139,37 @@
             self.draining_since = now
 
     def is_cold(self, now: Seconds) -> bool:
-        """Whether it bears few requests only: it says so, or comes back from an end.
+        """Whether it can process few requests only: it is warming up, or its process exited.
 
-        Without a bound for cold ones they are used like others, as slow ones.
+        Without a cold rate it is used like others, as a slow one.
         """
-        return self.cold_rate > 0.0 and now < max(self._cold_until, self._ended_until)
+        return self.cold_rate > 0.0 and now < max(self._cold_until, self._exit_cooldown_until)
 
-    def cold_for(self, now: Seconds) -> Seconds:
-        """How much longer it will be cold, as far as is known."""
-        return max(self._cold_until, self._ended_until) - now if self.is_cold(now) else 0.0
+    def remaining_cold_time(self, now: Seconds) -> Seconds:
+        """Return for how much longer it is expected to be cold."""
+        return max(self._cold_until, self._exit_cooldown_until) - now if self.is_cold(now) else 0.0
 
     def record_load(self, report: LoadReport, now: Seconds) -> None:
-        """Take in the load that an answer told."""
-        self.tells_load = True
-        self._others = max(report.running + report.waiting - self.outstanding, 0.0)
-        self._reported_at = now
-        self._pace = report.slowdown
-        self._mean_pace += PACE_SMOOTHING * (report.slowdown - self._mean_pace)
+        """Record the load that a response reported."""
+        self.reports_load = True
+        self._other_requests = max(report.running + report.waiting - self.outstanding, 0.0)
+        self._load_reported_at = now
+        self._slowdown = report.slowdown
+        self._mean_slowdown += SLOWDOWN_SMOOTHING * (report.slowdown - self._mean_slowdown)
 
     def record_fleet_load(
         self, outstanding: int, service_time: Seconds, now: Seconds, excluded: bool = False
     ) -> None:
-        """Take in what the leader tells: all nodes' requests there, and its service time.
+        """Record what the leader sent: the requests of all nodes to it, and its service time.
 
         Parameters
         ----------
         excluded
-            It fails more often than others and is to be passed over.
+            It fails more often than others and should not be chosen.
         """
         self._excluded_until = now + FLEET_LOAD_LIFE if excluded else NEVER
-        self._elsewhere = float(max(outstanding - self._outstanding_told, 0))
-        self._elsewhere_at = now
+        self._fleet_load = float(max(outstanding - self._reported_outstanding, 0))
+        self._fleet_load_at = now
         if service_time > 0.0:
             self.service_time = service_time
 
@@ -177,12 +181,13 @@
         route: str = "",
         ahead: float = 0,
     ) -> None:
-        """An attempt was answered whole.
+        """Record an attempt with a complete response.
 
         Parameters
         ----------
         ahead
-            Requests that were believed to be there when it was sent; an answer's load is better.
+            Requests that the back end was expected to have when this one was sent; used if the
+            response reports no load.
         """
         self.failures = 0
         self.ejections = 0
@@ -194,134 +199,141 @@
             self.service_time = sample
         self.work.record(route, without_queue / self.service_time)
         self.service_time += LATENCY_SMOOTHING * (sample - self.service_time)
-        self._answers += 1
+        self._responses += 1
         self._work_time += sample
 
     def take_sample(self) -> WorkSample | None:
-        """Return what there is to report since the last call; None if nothing."""
-        told = self._answers or self._faults or self.outstanding or self._outstanding_told
-        if not told:
+        """Return what has been observed since the last call; None if there is nothing to report."""
+        has_data = (
+            self._responses or self._own_faults or self.outstanding or self._reported_outstanding
+        )
+        if not has_data:
             return None
-        mean = self._work_time / self._answers if self._answers else 0.0
+        mean = self._work_time / self._responses if self._responses else 0.0
         sample = WorkSample(
-            self.backend.backend_id, self.outstanding, self._answers, mean, self._faults
+            self.backend.backend_id, self.outstanding, self._responses, mean, self._own_faults
         )
-        self._outstanding_told = self.outstanding
-        self._answers = 0
-        self._faults = 0
+        self._reported_outstanding = self.outstanding
+        self._responses = 0
+        self._own_faults = 0
         self._work_time = 0.0
         return sample
 
     def is_ejected(self, now: Seconds) -> bool:
-        """Whether it failed lately, at this node or at others."""
+        """Whether it is ejected by this node, or excluded by the leader."""
         return now < self.ejected_until or now < self._excluded_until
 
     def record_failure(self, now: Seconds, own_fault: bool = True) -> None:
-        """An attempt ended without an answer that can be used.
+        """Record an attempt that ended without a usable response.
 
         Parameters
         ----------
         own_fault
-            It is not known to have had too much to do; only such failures are told to others.
+            Whether the back end is not known to be overloaded; only such failures are reported.
         """
         self.failures += 1
-        self._faults += own_fault
+        self._own_faults += own_fault
         if self.failures >= FAILURES_TO_EJECT:
             span = BASE_EJECTION_TIME * 2.0 ** min(self.ejections, 10)
             self.ejected_until = now + min(span, MAX_EJECTION_TIME)
             self.ejections += 1
 
     def record_process_exit(self, now: Seconds) -> None:
-        """No process listens at its address: no second failure is needed to pass it over."""
+        """Record that no process listens at its address: it is ejected without another failure."""
         self.failures = max(self.failures, FAILURES_TO_EJECT - 1)
         self.record_failure(now)
-        self._ended_at = now
-        self._ended_until = now + ENDED_REST
+        self._exited_at = now
+        self._exit_cooldown_until = now + ENDED_REST
 
     def extend_exit_cooldown(self, now: Seconds) -> None:
-        """The store is away: what has ended cannot be heard of."""
-        if now < self._ended_until:
-            latest = min(now, self._ended_at + LONGEST_UNHEARD_REST)
-            self._ended_until = max(self._ended_until, latest + ENDED_REST)
+        """Extend its exit cooldown while the store is unreachable and its entry cannot change."""
+        if now < self._exit_cooldown_until:
+            latest = min(now, self._exited_at + LONGEST_UNHEARD_REST)
+            self._exit_cooldown_until = max(self._exit_cooldown_until, latest + ENDED_REST)
 
     def record_queue_full(self, now: Seconds) -> None:
-        """It turned a request away because its queue is full."""
-        if self.tells_load and self._reported_at == now:
-            told = self.outstanding + self._others
-            if told >= PLAUSIBLY_FULL * self.backend.slots:
-                self.full_at = told
+        """Record that it rejected a request because its queue is full."""
+        if self.reports_load and self._load_reported_at == now:
+            load = self.outstanding + self._other_requests
+            if load >= MIN_FULL_LOAD_PER_SLOT * self.backend.slots:
+                self.full_at = load
         least = FULL_QUEUE * self.backend.slots - self.outstanding
-        self._others = max(self._others if self._reported_at == now else 0.0, least, 0.0)
-        self._reported_at = now
+        self._other_requests = max(
+            self._other_requests if self._load_reported_at == now else 0.0, least, 0.0
+        )
+        self._load_reported_at = now
 
     def expected_load(self, now: Seconds) -> float:
-        """Requests that are expected to be there now."""
-        return self.outstanding + self._expected_others(now)
+        """Return how many requests it is expected to have now."""
+        return self.outstanding + self._expected_other_requests(now)
 
-    def _expected_others(self, now: Seconds) -> float:
-        """Other nodes' requests there: what the newest answer told, or the leader."""
-        others = self._others
+    def _expected_other_requests(self, now: Seconds) -> float:
+        """Estimate other nodes' requests to it from the newest response or the leader's data."""
+        others = self._other_requests
         if others:
-            others *= math.exp(-(now - self._reported_at) / LOAD_MEMORY)
-        if now - self._elsewhere_at >= FLEET_LOAD_LIFE:
+            others *= math.exp(-(now - self._load_reported_at) / LOAD_DECAY_TIME)
+        if now - self._fleet_load_at >= FLEET_LOAD_LIFE:
             return others
-        elsewhere = self._elsewhere * self._growth()
-        if not self.tells_load:
+        elsewhere = self._fleet_load * self._other_requests_growth()
+        if not self.reports_load:
             return max(others, elsewhere)
-        counted_at = self._elsewhere_at - SUM_AGE
-        return elsewhere if counted_at > self._reported_at else others
+        counted_at = self._fleet_load_at - FLEET_LOAD_AGE
+        return elsewhere if counted_at > self._load_reported_at else others
 
-    def _growth(self) -> float:
-        """How much other nodes' requests there have probably grown since they were told.
+    def _other_requests_growth(self) -> float:
+        """Estimate the growth of other nodes' requests to it since the last report, as a factor.
 
-        A surge shows at all nodes alike, and first in this node's own requests.
+        A surge affects all nodes alike, and shows first in this node's own requests.
         """
-        now_here = self.outstanding + GROWTH_CERTAINTY
-        growth = now_here / (self._outstanding_told + GROWTH_CERTAINTY)
-        return min(max(growth, 1.0 / LARGEST_GROWTH), LARGEST_GROWTH)
+        now_here = self.outstanding + GROWTH_SMOOTHING_REQUESTS
+        growth = now_here / (self._reported_outstanding + GROWTH_SMOOTHING_REQUESTS)
+        return min(max(growth, 1.0 / MAX_GROWTH), MAX_GROWTH)
 
     def load_age(self, now: Seconds) -> Seconds:
-        """How long ago it was last heard what other nodes have there."""
-        return now - max(self._reported_at, self._elsewhere_at)
+        """Return the age of the newest data on other nodes' requests to it."""
+        return now - max(self._load_reported_at, self._fleet_load_at)
 
     def is_full(self, now: Seconds) -> bool:
-        """Whether one more request may be reset, as those do that tell no load."""
-        return not self.tells_load and self.expected_load(now) >= FULL_QUEUE * self.backend.slots
+        """Whether it reports no load and may reset one more request because its queue is full."""
+        return not self.reports_load and self.expected_load(now) >= FULL_QUEUE * self.backend.slots
 
     def is_known_full(self, now: Seconds) -> bool:
-        """Whether a back end that tells its load is believed to have as many as it ever takes."""
-        return self.full_at is not None and self.expected_load(now) >= NEARLY_FULL * self.full_at
+        """Whether it reports its load and is expected to have close to `full_at` requests."""
+        return (
+            self.full_at is not None
+            and self.expected_load(now) >= KNOWN_FULL_FRACTION * self.full_at
+        )
 
     def relative_pace(self, now: Seconds) -> float:
-        """How long its work takes now, as a multiple of its mean."""
-        told = self._pace / self._mean_pace - 1.0
-        return 1.0 + told * math.exp(-(now - self._reported_at) / PACE_MEMORY)
+        """Return its present slowdown, as a multiple of its mean slowdown."""
+        deviation = self._slowdown / self._mean_slowdown - 1.0
+        return 1.0 + deviation * math.exp(-(now - self._load_reported_at) / SLOWDOWN_DECAY_TIME)
 
     def capacity(self, now: Seconds, typical: Seconds) -> float:
-        """Requests a second that it can work on."""
-        return self.backend.slots / ((self.service_time or typical) * self._warming(now))
+        """Return how many requests a second it can process."""
+        return self.backend.slots / ((self.service_time or typical) * self._warmup_factor(now))
 
     def expected_time(self, now: Seconds, typical: Seconds, relative: float = 1.0) -> Seconds:
-        """Time that one more request is expected to take.
+        """Return the time that one more request is expected to take.
 
         Parameters
         ----------
         relative
-            Its work, as a part of the mean over the service's requests.
+            Cost of the request, as a multiple of the mean over the service's requests.
         """
         work = self.service_time or typical
         slots = self.backend.slots
         ahead = self.expected_load(now)
         queued = max(ahead + 1.0 - slots, 0.0) / slots
         busy = min(ahead / slots, 1.0)
-        return work * (relative * (1.0 + 0.3 * busy) + queued) * self._warming(now)
+        return work * (relative * (1.0 + 0.3 * busy) + queued) * self._warmup_factor(now)
 
     def expected_time_of(self, route: str, now: Seconds) -> Seconds | None:
-        """Time that a request of this route is expected to take; None if too little is known."""
+        """Return the time expected for a request of this route; None if too little is known."""
         if self.service_time is None or not self.work.is_measured(route):
             return None
         return self.expected_time(now, self.service_time, self.work.relative(route))
 
-    def _warming(self, now: Seconds) -> float:
-        age = now - self.seen_at
+    def _warmup_factor(self, now: Seconds) -> float:
+        age = now - self.first_listed_at
         return 2.0 if age < self.backend.warmup else 1.0
--- a/src/limedeck/forwarding/backends.py
+++ b/src/limedeck/forwarding/backends.py
@@ -1,4 +1,4 @@
-"""All back ends that a node knows, and the choice of one for a request."""
+"""The back ends that a node knows, and the selection of one for a request."""
 
 from __future__ import annotations
 
@@ -18,35 +18,38 @@
 from limedeck.model import Backend
 
 DEFAULT_SERVICE_TIME: Seconds = 0.1
-"""Of a service that no answer has come from yet; an estimate."""
-OTHER_ZONE_FACTOR = 1.6
-"""A back end of another zone must be better by so much, if each tells its load."""
-NEARLY_EQUAL = 0.1
-"""Expected times that differ by less than this part are taken for equal at times; an estimate."""
-OTHER_ZONE_LOAD = 1.5
-"""If loads are known late, a back end of another zone counts as having so many more a slot: it is
-used once the near ones are busy. At 0.25, bytes between zones cost 0.016 more of a day's worth."""
+"""Assumed for a service from which no response has arrived yet."""
+OTHER_ZONE_TIME_FACTOR = 1.6
+"""Multiplies the expected times of back ends in other zones, if back ends report their load."""
+EXPECTED_TIME_JITTER = 0.1
+"""Largest fraction by which an expected time is raised at random, so that back ends with nearly
+equal times share the requests."""
+OTHER_ZONE_LOAD_PER_SLOT = 1.5
+"""Requests per slot added to the loads of back ends in other zones, if loads are known late: they
+are used once those of this zone are busy. At 0.25, bytes between zones cost 0.016 more of a day's
+worth."""
 REPORT_DELAY: Seconds = 0.3
-"""Age that loads told by the leader have when the next ones come; see `node.leader_link`."""
-LEAST_HEALTHY = 0.5
-"""With fewer of a service's back ends left, none is passed over for its failures: they may be the
-requests' own fault, and the healthy ones could not do all the work. The panic threshold that
-Envoy's documentation gives."""
+"""Age of the loads sent by the leader when the next ones arrive; see `node.leader_link`."""
+MIN_HEALTHY_FRACTION = 0.5
+"""If a smaller fraction of a service's usable back ends is healthy, ejections are ignored: the
+requests themselves may cause the failures, and the healthy back ends could not do all the work. The
+panic threshold that Envoy's documentation gives."""
 MAX_CONFIRMATION_AGE: Seconds = 1.5
 """A leader whose last confirmation by the store is at least this old cannot assign owners. Longer
 than two confirmation intervals."""
-FEWEST_ARRIVALS = 0.1
-"""While hardly anything is under way, the best back end gets all of it."""
+MIN_ARRIVALS = 0.1
+"""Lower bound of the arrivals to be shared, for times with hardly any requests: the best back end
+gets all of them."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """How a back end was reached when it was last listed.
+    """The address and instance name of a back end when it was last listed.
 
     Parameters
     ----------
     instance
-        The name by which requests and orders say whom they mean.
+        The name by which requests and orders identify the back end.
     """
 
     address: str
@@ -54,12 +57,12 @@
 
 
 class BackendDirectory:
-    """All back ends that the listing names, by service.
+    """The listed back ends, by service.
 
     Attributes
     ----------
     limits
-        What back ends in need take.
+        Request-rate limits that back ends state.
     leaving
         Back ends that have announced that they are leaving.
     backoffs
@@ -72,7 +75,7 @@
     zone
         This node's zone.
     node_id
-        Breaks ties differently on each node.
+        Determines when this node sends requests again after a back-off.
     """
 
     def __init__(self, zone: str, node_id: str) -> None:
@@ -80,8 +83,8 @@
         self._node_id = node_id
         self._states: dict[str, BackendState] = {}
         self._services: dict[str, dict[str, BackendState]] = {}
-        self._contacts: dict[str, Endpoint] = {}
-        self._lives: dict[str, str] = {}
+        self._endpoints: dict[str, Endpoint] = {}
+        self._ids_by_instance: dict[str, str] = {}
         self._work: dict[str, ServiceWork] = {}
         self._cold_rates: dict[str, float] = {}
         self._draining_ids: set[str] = set()
@@ -92,18 +95,18 @@
         self.availability = Availability(self.limits, self.leaving, self.backoffs)
 
     def put(self, backend: Backend, now: Seconds) -> None:
-        """A back end's entry is new or has changed.
+        """Record a new or changed entry of a back end.
 
-        An entry of another life of the same instance ends what is known of the former one: it holds
-        and knows nothing of before.
+        An entry of another incarnation of the same instance removes the state of the former one: it
+        owns no keys and has no state from before.
         """
-        former = self._lives.get(backend.name)
+        former = self._ids_by_instance.get(backend.name)
         if former is not None and former != backend.backend_id:
             self.remove(former)
             self.leaving.forget(former)
             self.backoffs.forget(former)
-        self._lives[backend.name] = backend.backend_id
-        self._contacts[backend.backend_id] = Endpoint(backend.address, backend.name)
+        self._ids_by_instance[backend.name] = backend.backend_id
+        self._endpoints[backend.backend_id] = Endpoint(backend.address, backend.name)
         state = self._states.get(backend.backend_id)
         if state is None:
             work = self._work.setdefault(backend.service, ServiceWork())
@@ -112,12 +115,12 @@
         else:
             self._services.get(state.backend.service, {}).pop(backend.backend_id, None)
             state.backend = backend
-        self._note_draining(backend, now)
+        self._record_draining(backend, now)
         state.cold_rate = self._cold_rates.get(backend.service, 0.0)
-        state.note_listed(now)
+        state.record_listed(now)
         self._services.setdefault(backend.service, {})[backend.backend_id] = state
 
-    def _note_draining(self, backend: Backend, now: Seconds) -> None:
+    def _record_draining(self, backend: Backend, now: Seconds) -> None:
         """Revoke the leaving announcement when the entry changes back from draining."""
         if backend.draining:
             self._draining_ids.add(backend.backend_id)
@@ -126,28 +129,28 @@
             self.leaving.revoke(backend.backend_id, now)
 
     def remove(self, backend_id: str) -> None:
-        """A back end's entry is gone."""
+        """Remove a back end whose entry is gone."""
         state = self._states.pop(backend_id, None)
         if state is not None:
             self._services[state.backend.service].pop(backend_id, None)
-            self._lives.pop(state.backend.name, None)
+            self._ids_by_instance.pop(state.backend.name, None)
             self.limits.forget(backend_id)
 
     def remove_instance(self, name: str) -> str | None:
-        """An instance's entry is gone, or names no back end any more; return its id, if it had."""
-        backend_id = self._lives.get(name)
+        """Remove an instance whose entry is gone or names no back end; return its back end's id."""
+        backend_id = self._ids_by_instance.get(name)
         if backend_id is not None:
             self.remove(backend_id)
         return backend_id
 
     def set_cold_rates(self, rates: Mapping[str, float]) -> None:
-        """Take in what cold back ends bear, in requests a second, by service; zero: no bound."""
+        """Set the cold rates in requests a second, by service; zero: no bound."""
         self._cold_rates = dict(rates)
         for state in self._states.values():
             state.cold_rate = self._cold_rates.get(state.backend.service, 0.0)
 
     def extend_exit_cooldowns(self, now: Seconds) -> None:
-        """The store is away: back ends that have ended cannot be heard of."""
+        """Extend exit cooldowns while the store is unreachable and no entries can change."""
         for state in self._states.values():
             state.extend_exit_cooldown(now)
 
@@ -179,7 +182,7 @@
         return self.availability.soonest_available(self.of_service(service), now)
 
     def owner_candidates(self, service: str, now: Seconds, may_move: bool) -> list[Backend]:
-        """Return a service's back ends as a leader is to see them.
+        """Return a service's back ends as the leader should see them.
 
         A back end that is leaving, cold, or in an evacuated zone is shown as draining, so that its
         keys are handed over to others if there are any.
@@ -187,8 +190,8 @@
         Parameters
         ----------
         may_move
-            Keys that were given up can get another owner now. If not, those of a cold owner stay:
-            it is warm before they would have one.
+            Whether released keys can be assigned now. If not, a cold owner keeps its keys, since
+            it warms up before they could be reassigned.
         """
         return [
             replace(
@@ -202,11 +205,11 @@
         return self._states.get(backend_id)
 
     def last_endpoint(self, backend_id: str) -> Endpoint | None:
-        """Return how a back end was last reached, though its entry may be gone."""
-        return self._contacts.get(backend_id)
+        """Return a back end's last known endpoint, even if its entry is gone."""
+        return self._endpoints.get(backend_id)
 
     def addresses(self) -> set[str]:
-        """Return where the listed back ends are."""
+        """Return the addresses of the listed back ends."""
         return {state.backend.address for state in self._states.values()}
 
     def all_states(self) -> Collection[BackendState]:
@@ -220,91 +223,94 @@
     def choose(
         self, service: str, excluded: Collection[str], request_id: bytes, now: Seconds
     ) -> BackendState | None:
-        """Choose a back end that is expected to answer soon; None when there is none."""
+        """Choose a back end that is expected to respond soon; None if none is usable."""
         usable = [
             state
             for state in self.of_service(service)
             if state.backend.backend_id not in excluded
             and self.availability.check_unkeyed(state, now) is None
         ]
-        # A cold one does a fifth of a warm one's work, and falls over with a little more.
+        # A cold back end does a fifth of a warm one's work, and fails with slightly more.
         usable = [state for state in usable if not state.is_cold(now)] or usable
         healthy = [state for state in usable if not state.is_ejected(now)]
-        candidates = healthy if len(healthy) >= LEAST_HEALTHY * len(usable) else usable
+        candidates = healthy if len(healthy) >= MIN_HEALTHY_FRACTION * len(usable) else usable
         if not candidates:
             return None
-        if any(state.tells_load for state in candidates):
-            return self._better_of_two(candidates, request_id, now)
-        return self._by_share(candidates, request_id, now)
+        if any(state.reports_load for state in candidates):
+            return self._choose_of_two(candidates, request_id, now)
+        return self._choose_by_share(candidates, request_id, now)
 
-    def _better_of_two(
+    def _choose_of_two(
         self, candidates: list[BackendState], request_id: bytes, now: Seconds
     ) -> BackendState:
-        """The better of two that are drawn: one of this zone, one of all others.
+        """Choose the better of two random back ends: one of this zone, one of all others.
 
-        Many nodes know the same of a back end, and know it late. If each took the best one, that
-        one would get the requests of all of them until its load was known anew. See M.
-        Mitzenmacher, "How useful is old information?" (1997).
+        Many nodes have the same outdated load of a back end. If each chose the best back end, it
+        would get the requests of all of them until its load was updated. See M. Mitzenmacher, "How
+        useful is old information?" (1997).
         """
-        near = [state for state in candidates if state.backend.zone == self._zone] or candidates
-        first = near[int(hash_fraction(b"1" + request_id) * len(near))]
+        same_zone = [
+            state for state in candidates if state.backend.zone == self._zone
+        ] or candidates
+        first = same_zone[int(hash_fraction(b"1" + request_id) * len(same_zone))]
         others = [state for state in candidates if state is not first] or [first]
         second = others[int(hash_fraction(b"2" + request_id) * len(others))]
         typical = self._typical_time(candidates)
 
         def cost(state: BackendState) -> float:
-            if self._names_limit(state):
+            if self._states_limit(state):
                 return 0.0
             spread = hash_fraction(state.backend.backend_id.encode() + request_id)
-            time = state.expected_time(now, typical) * (1.0 + NEARLY_EQUAL * spread)
+            time = state.expected_time(now, typical) * (1.0 + EXPECTED_TIME_JITTER * spread)
             time *= state.relative_pace(now)
-            return time if state.backend.zone == self._zone else time * OTHER_ZONE_FACTOR
+            return time if state.backend.zone == self._zone else time * OTHER_ZONE_TIME_FACTOR
 
         return min(first, second, key=cost)
 
-    def _by_share(
+    def _choose_by_share(
         self, candidates: list[BackendState], request_id: bytes, now: Seconds
     ) -> BackendState:
-        """The better of two drawn by shares that level a load which is known late.
+        """Choose the better of two back ends, drawn by shares that level a load known late.
 
-        Until loads are known anew, a part of the requests that are there will have been answered,
-        and as many others will have come.
+        By the time that loads are updated, some of the outstanding requests will have received
+        their responses, and as many others will have arrived.
         """
         typical = self._typical_time(candidates)
-        present = [state.expected_load(now) for state in candidates]
+        current_loads = [state.expected_load(now) for state in candidates]
         remaining = math.exp(-REPORT_DELAY / typical)
-        arrivals = max(sum(present) * (1.0 - remaining), FEWEST_ARRIVALS)
-        loads = [load * remaining for load in present]
-        weighed = [
+        arrivals = max(sum(current_loads) * (1.0 - remaining), MIN_ARRIVALS)
+        loads = [load * remaining for load in current_loads]
+        weighted_loads = [
             load
             if state.backend.zone == self._zone
-            else load + OTHER_ZONE_LOAD * state.backend.slots
+            else load + OTHER_ZONE_LOAD_PER_SLOT * state.backend.slots
             for state, load in zip(candidates, loads, strict=True)
         ]
         capacities = [state.capacity(now, typical) for state in candidates]
         fastest = max(capacities)
         capacities = [
-            fastest if self._names_limit(state) else capacity
+            fastest if self._states_limit(state) else capacity
             for state, capacity in zip(candidates, capacities, strict=True)
         ]
-        shares = levelling_shares(weighed, capacities, arrivals)
+        shares = levelling_shares(weighted_loads, capacities, arrivals)
         drawn = [
-            candidates[drawn_index(shares, hash_fraction(mark + request_id))]
-            for mark in (b"1", b"2")
+            candidates[drawn_index(shares, hash_fraction(salt + request_id))]
+            for salt in (b"1", b"2")
         ]
 
         def cost(state: BackendState) -> float:
-            if self._names_limit(state):
+            if self._states_limit(state):
                 return -1.0
             return state.outstanding * (state.service_time or typical)
 
         return min(drawn, key=cost)
 
-    def _names_limit(self, state: BackendState) -> bool:
-        """Whether a back end that is drawn is to be asked a permit for, however slow it looks.
+    def _states_limit(self, state: BackendState) -> bool:
+        """Whether a back end states a limit, and is preferred if drawn, however slow it appears.
 
-        What it takes it has named itself. One that is passed over for its speed, as an idle one of
-        six was for eight seconds at 60 requests a second, could not say that it is well again.
+        Its limit already bounds its requests. A back end that gets none because it was slow cannot
+        state that it has recovered: an idle one of six got none for eight seconds at 60 requests a
+        second.
         """
         return self.limits.rate(state.backend.backend_id) is not None
 
@@ -314,7 +320,7 @@
 
 
 def drawn_index(shares: Sequence[float], point: float) -> int:
-    """Return the index of the share that holds `point`, a part of all shares from 0 to 1."""
+    """Return the index of the share at `point`, a fraction of the sum of all shares."""
     left = point * sum(shares)
     for index, share in enumerate(shares):
         left -= share
--- a/tests/unit/test_limited_requests.py
+++ b/tests/unit/test_limited_requests.py
@@ -187,15 +187,15 @@
     assert bound is not None and bound.rate == 2.0
 
 
-@pytest.mark.parametrize("tells_load", [True, False])
-def test_one_that_names_a_limit_is_used_though_it_was_slow_once(tells_load: bool) -> None:
+@pytest.mark.parametrize("reports_load", [True, False])
+def test_one_that_names_a_limit_is_used_though_it_was_slow_once(reports_load: bool) -> None:
     """Five real nodes sent it nothing for eight seconds: it could not say that it is well again."""
     limits: dict[str, float | None] = {"a": 4.2, "b": None, "c": None, "d": None}
     directory = directory_of(limits)
     for state in directory.all_states():
         took = 0.5 if state.backend.backend_id == "a" else 0.02
-        state.record_response(took, LoadReport(1, 0, 2) if tells_load else None, 1.0, "r")
-        state.tells_load = tells_load
+        state.record_response(took, LoadReport(1, 0, 2) if reports_load else None, 1.0, "r")
+        state.reports_load = reports_load
     chosen = [core_of(directory, 10.0 + n / 100).next_command(10.0, NODES) for n in range(300)]
     asks = sum(isinstance(command, RequestPermit) for command in chosen)
     assert 300 / 4 <= asks <= 2.2 * 300 / 4
