--- a/src/limedeck/forwarding/availability.py
+++ b/src/limedeck/forwarding/availability.py
@@ -1,6 +1,6 @@
 """Whether a request may be sent to a back end now, and if not, why and for how long.
 
-Combines all sources: the back end's store entry, its answers, other nodes, operators, and the
+Combines all sources: the back end's store entry, its responses, other nodes, operators, and the
 leader's permits. Back-end selection, owners of keys, retries, requests that hold a permit, and
 refusals all use these checks.
 """
@@ -93,8 +93,8 @@
         backing_off = self.check_backoff(state, now)
         if backing_off is not None:
             return backing_off
-        if self.is_turning_away(state, now):
-            remaining = state.turned_away_until - now
+        if self.are_permits_denied(state, now):
+            remaining = state.permits_denied_until - now
             return Unavailable(backend.backend_id, UnavailableCause.NO_PERMIT, remaining)
         return None
 
@@ -114,7 +114,9 @@
         if backing_off is not None:
             return backing_off
         if state.is_cold(now):
-            return Unavailable(backend.backend_id, UnavailableCause.COLD, state.remaining_cold_time(now))
+            return Unavailable(
+                backend.backend_id, UnavailableCause.COLD, state.remaining_cold_time(now)
+            )
         return None
 
     def check_backoff(self, state: BackendState, now: Seconds) -> Unavailable | None:
@@ -169,25 +171,25 @@
         The bound is the lower of the limit that it states and the cold rate while it is cold.
         """
         rates = [state.cold_rate] if state.is_cold(now) else []
-        named = self._limits.rate(state.backend.backend_id)
-        if named is not None:
-            rates.append(named)
+        stated = self._limits.rate(state.backend.backend_id)
+        if stated is not None:
+            rates.append(stated)
         return RateBound(state.backend.backend_id, min(rates)) if rates else None
 
-    def is_turning_away(self, state: BackendState, now: Seconds) -> bool:
+    def are_permits_denied(self, state: BackendState, now: Seconds) -> bool:
         """Whether permit requests for a back end are being denied.
 
         Ignored once the back end has no bound: a limit may be lifted before the retry time that the
         leader gave to this node.
         """
-        return now < state.turned_away_until and self.rate_bound(state, now) is not None
+        return now < state.permits_denied_until and self.rate_bound(state, now) is not None
 
     def _leaving_since(self, state: BackendState) -> Seconds | None:
-        """Return when this node first learned, by answer or entry, that a back end is leaving."""
-        heard = self._leaving.leaving_since(state.backend.backend_id)
-        if state.draining_since is None or heard is None:
-            return state.draining_since if heard is None else heard
-        return min(state.draining_since, heard)
+        """Return when this node first learned, by response or entry, that a back end is leaving."""
+        announced_at = self._leaving.leaving_since(state.backend.backend_id)
+        if state.draining_since is None or announced_at is None:
+            return state.draining_since if announced_at is None else announced_at
+        return min(state.draining_since, announced_at)
 
 
 def _remaining(unavailable: Unavailable) -> Seconds:
--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -96,7 +96,7 @@
         did.
     draining_since
         When this node learned from its store entry that it is draining; None if it is not.
-    turned_away_until
+    permits_denied_until
         Until when permits for it are denied, by the leader's last response.
     """
 
@@ -116,7 +116,7 @@
         self.ejections = 0
         self.ejected_until: Seconds = NEVER
         self.full_at: float | None = None
-        self.turned_away_until: Seconds = NEVER
+        self.permits_denied_until: Seconds = NEVER
         self._other_requests = 0.0
         self._load_reported_at: Seconds = NEVER
         self._slowdown = 1.0
--- a/src/limedeck/forwarding/backoffs.py
+++ b/src/limedeck/forwarding/backoffs.py
@@ -1,7 +1,7 @@
 """Back-off periods that back ends have requested from this node with Retry-After.
 
 A back end that rejects a request with Retry-After asks to receive no requests from this node until
-that time. A later answer with an earlier end does not shorten the period. After it, the back end
+that time. A later response with an earlier end does not shorten the period. After it, the back end
 may still be unavailable, so the record is kept until a request has been served: until then, few
 requests may be sent concurrently.
 """
@@ -14,7 +14,7 @@
 from limedeck.forwarding import hashing
 from limedeck.identity import Seconds
 
-LONGEST_BACKOFF: Seconds = 300.0
+MAX_BACKOFF: Seconds = 300.0
 """Caps the requested period, so that a back end can be retried at least this often."""
 RETURN_SPREAD: Seconds = 0.3
 """Interval over which nodes spread their return after a back-off period."""
@@ -29,9 +29,9 @@
     Parameters
     ----------
     requested
-        Seconds requested by the answer that set this period.
+        Seconds requested by the response that set this period.
     received_at
-        When that answer arrived.
+        When that response arrived.
     ends_at
         End of the period, after the cap.
     resume_at
@@ -79,9 +79,9 @@
         self.events: list[BackoffStarted | BackoffEnded] = []
 
     def record(self, backend_id: str, seconds: Seconds, now: Seconds) -> None:
-        """Record the back-off requested by an answer that arrived now."""
+        """Record the back-off requested by a response that arrived now."""
         known = self._backoffs.get(backend_id)
-        ends_at = now + min(seconds, LONGEST_BACKOFF)
+        ends_at = now + min(seconds, MAX_BACKOFF)
         if seconds <= 0.0 or (known is not None and ends_at <= known.ends_at):
             return
         fraction = hashing.hash_fraction(f"{self._node_id} {backend_id}".encode())
@@ -107,7 +107,7 @@
                 yield backend_id, backoff
 
     def forget(self, backend_id: str) -> None:
-        """Drop the back-off of a back end whose life has ended."""
+        """Drop the back-off of a back end whose incarnation has ended."""
         self._backoffs.pop(backend_id, None)
 
     def drop_expired(self, listed: Container[str], now: Seconds) -> None:
--- a/src/limedeck/forwarding/fleet_size.py
+++ b/src/limedeck/forwarding/fleet_size.py
@@ -1,10 +1,10 @@
-"""How many nodes share what all nodes may do together, so that no view of it adds up to more.
+"""The number of nodes that share an amount, chosen so that the shares never exceed the amount.
 
-A share of an amount for any window is that amount divided by the number of nodes. Nodes hear that
-number from the leader, and it is out of date in some of them whenever nodes are lost, cut off or
-started. The amount is kept all the same if every node goes by the highest number that it heard in a
-window and a while, and has no share in its first window: whoever else believes in a lower number
-began to do so after the others had ceased to use theirs.
+A node's share of an amount for any window is the amount divided by the number of nodes. Nodes get
+that number from the leader, and it is out of date at some of them whenever nodes are lost, cut off
+or started. The amount is not exceeded if every node uses the highest number that it got in the last
+window plus `COUNT_LIFETIME`, and has no share in its first window: a node that uses a lower number
+started to do so after the others had stopped using their shares.
 """
 
 from __future__ import annotations
@@ -14,49 +14,52 @@
 
 from limedeck.identity import Seconds
 
-HEARD_LIFE: Seconds = 2.5
-"""A node that has not heard the number for so long has no share any more, and none for a window
-after that: others may have counted it out. Above the time in which a lost leader is replaced."""
+COUNT_LIFETIME: Seconds = 2.5
+"""A node that has not got the number for longer has no share, nor for a window after it gets the
+number again: others may no longer count it. Longer than the time to replace a lost leader."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
-    """The number that was heard, and until when at least."""
+class _RecordedCount:
+    """A number of nodes, and when it was last recorded."""
 
     count: int
-    until: Seconds
+    last_recorded_at: Seconds
 
 
 class FleetSize:
-    """One node's view of the number."""
+    """One node's view of the number of nodes."""
 
     def __init__(self) -> None:
-        self._heard: deque[_Heard] = deque()
-        """The newest last, each lower than the one before it: what a maximum needs."""
-        self._since: Seconds | None = None
-        self._last: Seconds | None = None
+        self._counts: deque[_RecordedCount] = deque()
+        """Newest last, each lower than the one before it, for the maximum of a sliding window."""
+        self._continuous_since: Seconds | None = None
+        self._last_recorded_at: Seconds | None = None
 
     def record_node_count(self, count: int, now: Seconds) -> None:
-        """The leader tells the number, or this node leads and counts."""
-        if self._last is None or now - self._last > HEARD_LIFE:
-            self._since = now
-        self._last = now
-        while self._heard and self._heard[-1].count <= count:
-            self._heard.pop()
-        self._heard.append(_Heard(count, now))
+        """Record the number that the leader sent, or that this node counted as the leader."""
+        if self._last_recorded_at is None or now - self._last_recorded_at > COUNT_LIFETIME:
+            self._continuous_since = now
+        self._last_recorded_at = now
+        while self._counts and self._counts[-1].count <= count:
+            self._counts.pop()
+        self._counts.append(_RecordedCount(count, now))
 
     def latest(self, now: Seconds) -> int:
-        """Return the number that was told last; zero if none was for too long."""
-        if self._last is None or now - self._last > HEARD_LIFE:
+        """Return the number recorded last; zero if it is too old."""
+        if self._last_recorded_at is None or now - self._last_recorded_at > COUNT_LIFETIME:
             return 0
-        return self._heard[-1].count
+        return self._counts[-1].count
 
     def sharing_nodes(self, window: Seconds, now: Seconds) -> int:
-        """Return how many nodes share what they may do in a window; zero: this one has no share."""
-        if self._since is None or self._last is None:
+        """Return how many nodes share an amount for a window; zero: this one has no share."""
+        if self._continuous_since is None or self._last_recorded_at is None:
             return 0
-        if now - self._last > HEARD_LIFE or now - self._since < window:
+        if now - self._last_recorded_at > COUNT_LIFETIME or now - self._continuous_since < window:
             return 0
-        while self._heard[0].until < now - window - HEARD_LIFE and len(self._heard) > 1:
-            self._heard.popleft()
-        return max(self._heard[0].count, 1)
+        while (
+            self._counts[0].last_recorded_at < now - window - COUNT_LIFETIME
+            and len(self._counts) > 1
+        ):
+            self._counts.popleft()
+        return max(self._counts[0].count, 1)
--- a/src/limedeck/forwarding/hashing.py
+++ b/src/limedeck/forwarding/hashing.py
@@ -1,4 +1,4 @@
-"""A hash that spreads decisions of many nodes and requests evenly."""
+"""A hash for choices that should be spread evenly over nodes and requests."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def hash_fraction(text: bytes) -> float:
-    """A number from 0 to 1 that differs from text to text."""
+    """Return the hash of a text as a number from 0, included, to 1, excluded."""
     return xxhash.xxh32_intdigest(text) / float(1 << 32)
--- a/src/limedeck/forwarding/leaving.py
+++ b/src/limedeck/forwarding/leaving.py
@@ -1,9 +1,9 @@
-"""Back ends that have announced in answers that they are leaving.
+"""Back ends that have announced in responses that they are leaving.
 
-A back end that is leaving announces it in every answer. Its store entry may say so too, but the
-store can be unavailable. From then on it accepts no new requests until its life ends. An answer
-without the announcement does not revoke it, since it may be delayed or belong to a request that was
-already in flight. Only a store entry that changes back from draining revokes it.
+A back end that is leaving announces it in every response. Its store entry may say so too, but the
+store can be unavailable. From then on it accepts no new requests until its incarnation ends. A
+response without the announcement does not revoke it, since it may be delayed or belong to a request
+that was already in flight. Only a store entry that changes back from draining revokes it.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     requested_at
         When the request was sent, or when the store entry changed.
     received_at
-        When the answer arrived, or when the store entry changed.
+        When the response arrived, or when the store entry changed.
     """
 
     is_leaving: bool
--- a/src/limedeck/forwarding/limits.py
+++ b/src/limedeck/forwarding/limits.py
@@ -1,11 +1,12 @@
-"""What a node believes of the limits that back ends in need have named.
+"""Request-rate limits that back ends have stated in responses.
 
-A back end that can bear less than usual names, in its answers, how many requests a second it takes
-from all nodes together. It holds for as long as its answers say so: one that names none lifts it.
+A back end that can process fewer requests than usual states in its responses how many requests a
+second it takes from all nodes together. The limit applies until a response that states none.
 
-A limit is believed until an answer changes it or the back end's life ends, however old it is. No
-time ends it: after that time all nodes would send at once what the back end could not bear. It
-costs callers little if it was lifted long ago unheard, since the first request shows that.
+A limit is kept until a response changes it or the back end's incarnation ends, however old it is.
+It does not expire: all nodes would then send at once more than the back end can process. If this
+node missed that the limit was lifted, this costs callers little, since the response to the first
+request shows it.
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitStatement:
-    """What one answer told, on the clock of whoever holds this.
+    """The limit that one response stated, with times on the local clock.
 
-    The back end said it at some time between the two.
+    The back end stated it at some time between the two times.
 
     Parameters
     ----------
     rate
-        Requests a second that it takes from all nodes together; None: it names no limit.
+        Requests a second that it takes from all nodes together; None if it states no limit.
     requested_at
-        When the request was sent to it.
+        When the request was sent.
     received_at
-        When its answer came.
+        When the response arrived.
     """
 
     rate: float | None
@@ -38,19 +39,19 @@
 
     @property
     def is_default(self) -> bool:
-        """Whether the statement names no limit."""
+        """Whether no limit is stated."""
         return self.rate is None
 
     def is_equivalent(self, known: LimitStatement) -> bool:
-        """Whether both name the same limit, or both name none."""
+        """Whether both state the same limit, or both state none."""
         return self.rate == known.rate
 
     def replaces(self, known: LimitStatement) -> bool:
-        """Whether this is to be believed rather than what is known.
+        """Whether this statement supersedes the known one.
 
-        Of two that may have been said in either order the stricter one is: an answer that was on
-        its way for long must not bring a former limit back, or lift one that was named meanwhile.
-        A request that is sent after the last word of the old limit came brings the new one.
+        Of two statements that may have been made in either order, the stricter one applies: a
+        delayed response must not restore a former limit, or lift one that was stated meanwhile. A
+        request that is sent after the last response with the old limit arrived yields the new one.
         """
         if self.requested_at >= known.received_at:
             return True
@@ -63,12 +64,12 @@
     """One node's knowledge of limits, and the changes to send to other nodes."""
 
     def rate(self, backend_id: str) -> float | None:
-        """Return how many requests a second a back end takes; None if it names no limit."""
+        """Return how many requests a second a back end takes; None if it states no limit."""
         known = self.find(backend_id)
         return known.rate if known is not None else None
 
     def limited(self) -> dict[str, float]:
-        """Return all limits that are in force, by back end."""
+        """Return all limits in effect, by back end."""
         return {
             backend_id: statement.rate
             for backend_id, statement in self.all_statements()
--- a/src/limedeck/forwarding/owners.py
+++ b/src/limedeck/forwarding/owners.py
@@ -1,4 +1,4 @@
-"""Which back end owns which keys, as a node that forwards requests knows it."""
+"""The owners of keys, as known to a node that forwards requests."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedRange:
-    """Keys from `first` to `last`, both inside, and their owner.
+    """Keys from `first` to `last`, both included, and their owner.
 
     Parameters
     ----------
     owner
         Empty while the keys move, or after their owner was lost.
     free_at
-        If the owner was lost: when its lease has surely ended and there can be another one.
+        If the owner was lost: when its lease has ended and the keys can get another owner.
     """
 
     first: int
@@ -28,46 +28,46 @@
     free_at: Seconds | None = None
 
     def part(self, first: int, last: int) -> OwnedRange:
-        """Return the same for a part of these keys."""
+        """Return a part of this range, with the same owner."""
         return OwnedRange(first, last, self.owner, self.free_at)
 
-    def is_alike(self, other: OwnedRange) -> bool:
-        """Whether the same holds for the other one's keys."""
+    def has_same_state(self, other: OwnedRange) -> bool:
+        """Whether owner and `free_at` are the same as the other range's."""
         return (self.owner, self.free_at) == (other.owner, other.free_at)
 
 
 class OwnerMap:
-    """One service's owners at one version.
+    """The owners of one service's keys at one version.
 
     Parameters
     ----------
     version
-        A later version is above an earlier one, also across leaders.
+        Increases with each change, also across leaders.
     ranges
-        In the order of the keys, without gaps.
+        In key order, without gaps.
     """
 
     def __init__(self, version: int = 0, ranges: tuple[OwnedRange, ...] = ()) -> None:
         self.version = version
         self.ranges = ranges
         self._firsts = [item.first for item in ranges]
-        expected = 0
+        next_position = 0
         for item in ranges:
-            if item.first != expected or item.last < item.first:
-                raise InvariantViolation("ranges-cover-all-keys", f"{item} after {expected}")
-            expected = item.last + 1
+            if item.first != next_position or item.last < item.first:
+                raise InvariantViolation("ranges-cover-all-keys", f"{item} after {next_position}")
+            next_position = item.last + 1
 
     def changes_to(self, later: OwnerMap) -> tuple[OwnedRange, ...]:
-        """Ranges of a later map for which something else holds there."""
+        """Return the ranges of a later map whose owner or `free_at` differs there."""
         changed: list[OwnedRange] = []
         for item in later.ranges:
             for former in self._between(item.first, item.last):
-                if not former.is_alike(item):
+                if not former.has_same_state(item):
                     changed.append(item.part(former.first, former.last))
         return merge_adjacent(changed)
 
     def changed(self, version: int, changes: tuple[OwnedRange, ...]) -> OwnerMap:
-        """Return the map with other owners for these ranges, which are in the order of the keys."""
+        """Return the map with these ranges replaced; `changes` are in key order."""
         kept: list[OwnedRange] = []
         position = 0
         for item in changes:
@@ -79,7 +79,7 @@
         return OwnerMap(version, merge_adjacent(kept))
 
     def _between(self, first: int, last: int) -> list[OwnedRange]:
-        """Return the parts of ranges from one key to another, both inside."""
+        """Return the ranges between two keys, both included, cut off at these keys."""
         if last < first:
             return []
         start = max(bisect_right(self._firsts, first) - 1, 0)
@@ -94,12 +94,12 @@
         return parts
 
     def owner(self, position: int) -> str:
-        """Owner of a key, or empty if it has none now."""
+        """Return the owner of a key; empty if it has none now."""
         found = self._range_of(position)
         return found.owner if found is not None else ""
 
     def free_at(self, position: int) -> Seconds | None:
-        """When a key whose owner was lost can have another one; None if none was lost."""
+        """Return when a key whose owner was lost can get another one; None if none was lost."""
         found = self._range_of(position)
         return found.free_at if found is not None else None
 
@@ -111,11 +111,11 @@
 
 
 def merge_adjacent(ranges: Iterable[OwnedRange]) -> tuple[OwnedRange, ...]:
-    """Join ranges side by side for which the same holds."""
+    """Merge adjacent ranges with the same owner and `free_at`."""
     result: list[OwnedRange] = []
     for item in ranges:
         last = result[-1] if result else None
-        if last is not None and last.is_alike(item) and last.last + 1 == item.first:
+        if last is not None and last.has_same_state(item) and last.last + 1 == item.first:
             result[-1] = last.part(last.first, item.last)
         else:
             result.append(item)
--- a/src/limedeck/forwarding/request_cost.py
+++ b/src/limedeck/forwarding/request_cost.py
@@ -1,18 +1,18 @@
-"""How much work the requests of each route are at a service, relative to each other."""
+"""Relative cost of the requests of each route at a service."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SMOOTHING = 0.05
-"""Weight of one answer among the earlier ones; some 20 answers tell the mean of uneven work."""
+"""Weight of one response among the earlier ones; about 20 give the mean of uneven work."""
 FEWEST_SAMPLES = 5
-"""A route counts as measured after so many answers; fewer tell chance rather than work."""
+"""Responses after which a route counts as measured; with fewer, chance prevails."""
 
 
 @dataclass(slots=True)
 class _Mean:
-    """A mean of the first samples that goes over into a smoothed one."""
+    """The mean of the first samples, then an exponential moving average."""
 
     value: float = 0.0
     count: int = 0
@@ -23,11 +23,11 @@
 
 
 class ServiceWork:
-    """Work of each route's requests at one service; 1 is the mean over its present requests.
+    """Cost of each route's requests at one service; 1 is the mean over its present requests.
 
-    How fast a back end is and how much work a route's requests are is learnt apart: a route that
-    is sent to another service brings its own work with it, and must not be judged by what the
-    other routes of that service need.
+    The speed of back ends and the cost of a route's requests are measured separately: if a route is
+    moved to another service, its requests keep their own cost, which must not be estimated from the
+    other routes of that service.
     """
 
     def __init__(self) -> None:
@@ -35,17 +35,17 @@
         self._all = _Mean()
 
     def relative(self, route: str) -> float:
-        """Work of a request of this route; 1 while little is known of it."""
+        """Return the relative cost of a request of this route; 1 until it is measured."""
         if not self.is_measured(route) or self._all.value <= 0.0:
             return 1.0
         return self._routes[route].value / self._all.value
 
     def is_measured(self, route: str) -> bool:
-        """Whether enough requests of this route were answered here."""
+        """Whether there were enough responses to requests of this route."""
         found = self._routes.get(route)
         return found is not None and found.count >= FEWEST_SAMPLES
 
     def record(self, route: str, ratio: float) -> None:
-        """A request took `ratio` times as long as the back end's mean, without its queue."""
+        """Record that a request took `ratio` times the back end's mean time, excluding queueing."""
         self._routes.setdefault(route, _Mean()).add(ratio)
         self._all.add(ratio)
--- a/src/limedeck/forwarding/routes.py
+++ b/src/limedeck/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""Finds the route and the service of a request."""
+"""Look-up of the route and the service of a request."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class RouteIndex:
-    """Routes of one configuration by host and path; a look-up costs the path's depth."""
+    """Routes of one configuration by host and path; a look-up takes one step per path segment."""
 
     def __init__(self, configuration: Configuration) -> None:
         self._routes = {(route.host, route.path_prefix): route for route in configuration.routes}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route of this host whose prefix begins the path and is longest."""
+        """Find the route of this host with the longest prefix of the path; None if none matches."""
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             route = self._routes.get((host, path[: end + 1]))
@@ -26,7 +26,7 @@
 
 
 def choose_service(route: Route, request_id: bytes) -> str:
-    """Choose one of the route's services by weight; the same for the same request."""
+    """Choose one of the route's services by weight; always the same for the same request."""
     targets = route.targets
     if len(targets) == 1:
         return targets[0].service
--- a/src/limedeck/forwarding/statements.py
+++ b/src/limedeck/forwarding/statements.py
@@ -1,8 +1,8 @@
 """Statements that back ends make about themselves, and their exchange between nodes.
 
-A statement belongs to one life of a back end and was made at some time between the sending of a
-request and the arrival of its answer. Nodes receive statements in answers and from other nodes,
-possibly late and in any order. Each type of statement defines which of two takes precedence.
+A statement belongs to one incarnation of a back end and was made at some time between the sending
+of a request and the arrival of its response. Nodes receive statements in responses and from other
+nodes, possibly late and in any order. Each type of statement defines which of two takes precedence.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from limedeck.identity import Seconds
 
-UNLISTED_LIFE: Seconds = 30.0
+UNLISTED_RETENTION: Seconds = 30.0
 """Retention for statements of unlisted back ends: another node may receive both the entry and the
 statement first. Well above the time in which an entry reaches all nodes."""
 
@@ -23,11 +23,11 @@
 
     @property
     def requested_at(self) -> Seconds:
-        """When the request was sent whose answer made the statement."""
+        """When the request was sent whose response made the statement."""
 
     @property
     def received_at(self) -> Seconds:
-        """When the answer arrived."""
+        """When the response arrived."""
 
     @property
     def is_default(self) -> bool:
@@ -52,7 +52,7 @@
     former
         The previous statement; None if there was none.
     from_peer
-        True if another node sent the statement, False if it came from an answer to this node.
+        True if another node sent the statement, False if it came in a response to this node.
     """
 
     backend_id: str
@@ -78,7 +78,7 @@
     version
         Version of the ledger at the last change of content.
     source
-        The peer that sent it; None for an answer to this node.
+        The peer that sent it; None for a response to this node.
     """
 
     statement: S
@@ -91,7 +91,7 @@
 
     Parameters
     ----------
-    unlisted_life
+    unlisted_retention
         Retention for statements of unlisted back ends, in seconds.
 
     Attributes
@@ -102,10 +102,10 @@
         Called when there is a change to send to other nodes.
     """
 
-    def __init__(self, unlisted_life: Seconds = UNLISTED_LIFE) -> None:
+    def __init__(self, unlisted_retention: Seconds = UNLISTED_RETENTION) -> None:
         self._known: dict[str, _Known[S]] = {}
         self._version = 0
-        self._unlisted_life = unlisted_life
+        self._unlisted_retention = unlisted_retention
         self.events: list[StatementChanged[S]] = []
         self.on_change: Callable[[], None] = lambda: None
 
@@ -120,12 +120,12 @@
             yield backend_id, known.statement
 
     def record(self, backend_id: str, statement: S, source: object = None) -> None:
-        """Record a statement from an answer or from another node, unless it is superseded.
+        """Record a statement from a response or from another node, unless it is superseded.
 
         Parameters
         ----------
         source
-            The peer that sent it; None for an answer to this node.
+            The peer that sent it; None for a response to this node.
         """
         known = self._known.get(backend_id)
         if known is None:
@@ -144,32 +144,34 @@
         self._put(backend_id, self.find(backend_id), statement, None)
 
     def forget(self, backend_id: str) -> None:
-        """Drop the statement of a back end whose life has ended."""
+        """Drop the statement of a back end whose incarnation has ended."""
         self._known.pop(backend_id, None)
 
     def drop_unlisted(self, listed: Container[str], now: Seconds) -> None:
         """Drop statements of unlisted back ends that are older than the retention."""
         for backend_id, known in list(self._known.items()):
-            is_old = known.statement.received_at < now - self._unlisted_life
+            is_old = known.statement.received_at < now - self._unlisted_retention
             if is_old and backend_id not in listed:
                 del self._known[backend_id]
 
-    def updates_since(self, told: int, peer: object) -> tuple[list[StatementUpdate[S]], int]:
-        """Return the changes after version `told`, and the current version.
+    def updates_since(
+        self, known_version: int, peer: object
+    ) -> tuple[list[StatementUpdate[S]], int]:
+        """Return the changes after version `known_version`, and the current version.
 
         Parameters
         ----------
         peer
             Receiver of the changes; those that it sent itself are left out.
         """
-        if told == self._version:
-            return [], told
-        news = [
+        if known_version == self._version:
+            return [], known_version
+        updates = [
             StatementUpdate(backend_id, known.statement)
             for backend_id, known in self._known.items()
-            if known.version > told and known.source is not peer
+            if known.version > known_version and known.source is not peer
         ]
-        return news, self._version
+        return updates, self._version
 
     def _put(self, backend_id: str, former: S | None, statement: S, source: object) -> None:
         self._version += 1
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limedeck.forwarding.budget import RetryAllowance, RetryBudget
-from limedeck.forwarding.fleet_size import HEARD_LIFE, FleetSize
+from limedeck.forwarding.fleet_size import COUNT_LIFETIME, FleetSize
 
 WINDOW = 10.0
 SLACK = 188.0
@@ -139,7 +139,7 @@
     for second in range(20):
         size.record_node_count(3, float(second))
     assert size.sharing_nodes(WINDOW, 19.0) == 3
-    assert size.sharing_nodes(WINDOW, 19.1 + HEARD_LIFE) == 0
+    assert size.sharing_nodes(WINDOW, 19.1 + COUNT_LIFETIME) == 0
     size.record_node_count(3, 30.0)
     assert size.sharing_nodes(WINDOW, 31.0) == 0
     for second in range(30, 42):
--- a/tests/unit/test_limited_requests.py
+++ b/tests/unit/test_limited_requests.py
@@ -19,7 +19,7 @@
 from limedeck.forwarding.permits import PERMIT_LIFETIME, Permit, PermitDenied
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
-from limedeck.forwarding.request_permits import LONGEST_PATIENCE, MOST_ASKS
+from limedeck.forwarding.request_permits import MAX_PERMIT_WAIT, MAX_PERMIT_DENIALS
 from limedeck.model import Backend, Route, Target
 from limedeck.routing.outcomes import Outcome
 
@@ -77,7 +77,7 @@
     directory = directory_of({"a": 1.0})
     directory_state = directory.find("a")
     assert directory_state is not None
-    directory_state.turned_away_until = 10.2
+    directory_state.permits_denied_until = 10.2
     times = set()
     for number in range(20):
         core = core_of(directory, 10.0 + number / 1000, keyed=True)
@@ -128,7 +128,7 @@
     while isinstance(command, RequestPermit):
         count += 1
         command = core.handle_permit(command, PermitDenied(0.2), 10.01, NODES)
-    assert count == MOST_ASKS
+    assert count == MAX_PERMIT_DENIALS
     assert isinstance(command, Refuse)
     assert (command.outcome, command.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
     assert command.retry_after > 0.0
@@ -139,10 +139,10 @@
     for priority in (0, 1, 4):
         core = core_of(directory_of({"a": 4.2}), priority=priority)
         patience.append(asked(core.next_command(10.0, NODES)).permit_request.max_wait)
-    assert patience == [LONGEST_PATIENCE, LONGEST_PATIENCE / 2, LONGEST_PATIENCE / 5]
+    assert patience == [MAX_PERMIT_WAIT, MAX_PERMIT_WAIT / 2, MAX_PERMIT_WAIT / 5]
     core = core_of(directory_of({"a": 4.2}), priority=4)
     core.claim.is_client_retry = True
-    assert asked(core.next_command(10.0, NODES)).permit_request.max_wait == LONGEST_PATIENCE
+    assert asked(core.next_command(10.0, NODES)).permit_request.max_wait == MAX_PERMIT_WAIT
 
 
 @pytest.mark.parametrize("keyed", [False, True])
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -8,7 +8,7 @@
 
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.limits import LimitLedger, LimitStatement
-from limedeck.forwarding.statements import UNLISTED_LIFE
+from limedeck.forwarding.statements import UNLISTED_RETENTION
 from limedeck.model import Backend
 from limedeck.node.statement_log import StatementLog
 from limedeck.node.telemetry import Telemetry
@@ -54,9 +54,9 @@
 def test_a_limit_of_one_that_is_not_listed_is_kept_until_nodes_have_heard_of_its_entry() -> None:
     ledger = LimitLedger()
     ledger.record("a", LimitStatement(0.3, 1.0, 1.0))
-    ledger.drop_unlisted({}, 1.0 + UNLISTED_LIFE)
+    ledger.drop_unlisted({}, 1.0 + UNLISTED_RETENTION)
     assert ledger.rate("a") == 0.3
-    ledger.drop_unlisted({}, 1.1 + UNLISTED_LIFE)
+    ledger.drop_unlisted({}, 1.1 + UNLISTED_RETENTION)
     assert ledger.rate("a") is None
 
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limedeck.forwarding.permits import (
-    CONFIRMED_WITHIN,
+    FULL_RATE_CONFIRMATION_AGE,
     MIN_RATE,
     UNCONFIRMED_PART,
     Permit,
@@ -125,12 +125,12 @@
 
 
 def test_a_leader_lends_the_full_rate_only_while_it_is_surely_the_only_one() -> None:
-    for silence, part in ((0.0, 1.0), (CONFIRMED_WITHIN, UNCONFIRMED_PART)):
+    for silence, part in ((0.0, 1.0), (FULL_RATE_CONFIRMATION_AGE, UNCONFIRMED_PART)):
         lender = PermitIssuer(0.0)
-        assert lent(lender, 4.0, silence, CONFIRMED_WITHIN, 101.2) == pytest.approx(
+        assert lent(lender, 4.0, silence, FULL_RATE_CONFIRMATION_AGE, 101.2) == pytest.approx(
             400 * part, abs=2
         )
-    assert lent(PermitIssuer(0.0), 4.0, 0.0, 0.0, CONFIRMED_WITHIN) <= 2
+    assert lent(PermitIssuer(0.0), 4.0, 0.0, 0.0, FULL_RATE_CONFIRMATION_AGE) <= 2
 
 
 def test_one_that_takes_nothing_is_asked_now_and_then_also_while_the_store_is_away() -> None:
--- a/tests/unit/test_statements.py
+++ b/tests/unit/test_statements.py
@@ -8,7 +8,7 @@
 
 from limedeck.api import control_pb2
 from limedeck.forwarding.backends import BackendDirectory
-from limedeck.forwarding.backoffs import LONGEST_BACKOFF, RETURN_SPREAD, BackoffLedger
+from limedeck.forwarding.backoffs import MAX_BACKOFF, RETURN_SPREAD, BackoffLedger
 from limedeck.forwarding.leaving import LEAVING_RETENTION, LeavingLedger, LeavingStatement
 from limedeck.model import Backend
 from limedeck.node.leaving_updates import LeavingUpdatePeer
@@ -125,7 +125,7 @@
     ledger.record("a", 31_536_000.0, 10.0)
     backoff = ledger.find("a")
     assert backoff is not None
-    assert backoff.ends_at == 10.0 + LONGEST_BACKOFF
+    assert backoff.ends_at == 10.0 + MAX_BACKOFF
 
 
 def test_zero_seconds_start_no_backoff() -> None:
