--- a/tests/unit/permit_world.py
+++ b/tests/unit/permit_world.py
@@ -1,4 +1,4 @@
-"""Nodes, leaders and one back end that names a limit, in simulated time."""
+"""Nodes, leaders and one back end that states a limit, in simulated time."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 BACKEND = Backend("limited", "s", "127.0.0.1:1", "z1", 2)
 WORK_TIME = 0.05
 CONFIRM_INTERVAL = 0.7
-HEARING = (0.02, 0.5)
-"""Seconds until another node has heard of a limit."""
-LINK = (0.0005, 0.02)
-"""Seconds that a message is on its way."""
+UPDATE_DELAY = (0.02, 0.5)
+"""Range of the seconds until another node receives a limit."""
+MESSAGE_DELAY = (0.0005, 0.02)
+"""Range of the seconds for which a message is in transit."""
 ROUTE = Route("r", "host", "/", True, 3.0, 1.0, 3, 1, (Target("s", 1),))
 
 
 @dataclass(eq=False)
 class Leader:
-    """A node that believes that it leads; it may have been replaced."""
+    """A node that assumes that it leads; it may have been replaced."""
 
     began: float
     confirmed_at: float
-    lender: PermitIssuer
+    issuer: PermitIssuer
     reaches_store: bool = True
 
 
@@ -44,20 +44,20 @@
     Parameters
     ----------
     leader
-        Whom it hears.
-    told_at
+        The leader that it follows.
+    limit_known_at
         When it first knew of a limit.
     """
 
     directory: BackendDirectory
     view: ServiceView
     leader: Leader | None = None
-    told_at: float = float("inf")
+    limit_known_at: float = float("inf")
 
 
 @dataclass
 class Arrival:
-    """A request at the back end, from a node that had known of its limit for so long."""
+    """A request at the back end, and for how long its node had known of the limit."""
 
     at: float
     known_for: float
@@ -65,14 +65,14 @@
 
 @dataclass
 class PermitWorld:
-    """All of it; a test changes what it wants while time passes.
+    """The whole simulation; tests change its state while it runs.
 
     Parameters
     ----------
     rate
         Requests a second of all nodes together.
     limit
-        What the back end names now.
+        The limit that the back end states now.
     """
 
     seed: int
@@ -87,9 +87,9 @@
         self.env = simpy.Environment()
         self.source = random.Random(self.seed)
         self.nodes = [self._node(number) for number in range(self.count)]
-        self.recorded: Leader | None = None
+        self.current_leader: Leader | None = None
         for number, node in enumerate(self.nodes):
-            self.env.process(self._callers(node, number))
+            self.env.process(self._generate_requests(node, number))
 
     def _node(self, number: int) -> SimulatedNode:
         directory = BackendDirectory("z1", f"n{number}")
@@ -98,10 +98,10 @@
         return SimulatedNode(directory, ServiceView("s", False, budget))
 
     def elect(self, followers: list[SimulatedNode]) -> Leader:
-        """A node is elected, and these hear it; the one before it may not know that."""
+        """Elect a leader with these followers; its predecessor may not know of it."""
         now = self.env.now
         leader = Leader(now, now, PermitIssuer(now))
-        self.recorded = leader
+        self.current_leader = leader
         for node in followers:
             node.leader = leader
         self.env.process(self._confirm(leader))
@@ -110,10 +110,10 @@
     def _confirm(self, leader: Leader) -> Steps:
         while True:
             yield self.env.timeout(CONFIRM_INTERVAL * self.source.uniform(0.9, 1.1))
-            if leader.reaches_store and leader is self.recorded:
+            if leader.reaches_store and leader is self.current_leader:
                 leader.confirmed_at = self.env.now
 
-    def _callers(self, node: SimulatedNode, node_number: int) -> Steps:
+    def _generate_requests(self, node: SimulatedNode, node_number: int) -> Steps:
         number = 0
         while True:
             yield self.env.timeout(self.source.expovariate(self.rate / self.count))
@@ -131,15 +131,15 @@
     def _play(
         self, node: SimulatedNode, core: RequestCore
     ) -> Generator[simpy.Event, object, Refuse | None]:
-        """Do what a request's core wants until it is served or refused."""
+        """Execute the commands of a request's core until the request is served or refused."""
         command = core.next_command(self.env.now, self.count)
         while True:
             match command:
                 case RequestPermit():
-                    yield self.env.timeout(self.source.uniform(*LINK))
-                    answer = self._answer(node, command)
-                    yield self.env.timeout(self.source.uniform(*LINK))
-                    command = core.handle_permit(command, answer, self.env.now, self.count)
+                    yield self.env.timeout(self.source.uniform(*MESSAGE_DELAY))
+                    response = self._respond_to_permit_request(node, command)
+                    yield self.env.timeout(self.source.uniform(*MESSAGE_DELAY))
+                    command = core.handle_permit(command, response, self.env.now, self.count)
                 case Wait():
                     yield self.env.timeout(max(command.until - self.env.now, 0.0))
                     command = core.next_command(self.env.now, self.count)
@@ -149,36 +149,42 @@
                 case Refuse():
                     return command
 
-    def _answer(self, node: SimulatedNode, command: RequestPermit) -> PermitResponse:
+    def _respond_to_permit_request(
+        self, node: SimulatedNode, command: RequestPermit
+    ) -> PermitResponse:
         leader = node.leader
         if leader is None:
             return PermitDenied(0.3)
         silence = self.env.now - leader.confirmed_at
-        return leader.lender.issue(command.permit_request, None, silence, self.env.now)
+        return leader.issuer.issue(command.permit_request, None, silence, self.env.now)
 
-    def _run(self, node: SimulatedNode, asked: float) -> Steps:
-        yield self.env.timeout(self.source.uniform(*LINK))
-        self.arrivals.append(Arrival(self.env.now, self.env.now - node.told_at))
+    def _run(self, node: SimulatedNode, requested_at: float) -> Steps:
+        yield self.env.timeout(self.source.uniform(*MESSAGE_DELAY))
+        self.arrivals.append(Arrival(self.env.now, self.env.now - node.limit_known_at))
         yield self.env.timeout(WORK_TIME)
-        said = self.limit
-        yield self.env.timeout(self.source.uniform(*LINK))
-        self._learn(node, LimitStatement(said, asked, self.env.now))
+        stated_limit = self.limit
+        yield self.env.timeout(self.source.uniform(*MESSAGE_DELAY))
+        self._record_statement(node, LimitStatement(stated_limit, requested_at, self.env.now))
         for other in self.nodes:
-            if other is not node and other.directory.limits.rate("limited") != said:
-                self.env.process(self._hear(other, LimitStatement(said, asked, self.env.now)))
-
-    def _hear(self, node: SimulatedNode, statement: LimitStatement) -> Steps:
-        yield self.env.timeout(self.source.uniform(*HEARING))
+            if other is not node and other.directory.limits.rate("limited") != stated_limit:
+                self.env.process(
+                    self._receive_update(
+                        other, LimitStatement(stated_limit, requested_at, self.env.now)
+                    )
+                )
+
+    def _receive_update(self, node: SimulatedNode, statement: LimitStatement) -> Steps:
+        yield self.env.timeout(self.source.uniform(*UPDATE_DELAY))
         if node.leader is not None:
-            self._learn(node, statement)
+            self._record_statement(node, statement)
 
-    def _learn(self, node: SimulatedNode, statement: LimitStatement) -> None:
+    def _record_statement(self, node: SimulatedNode, statement: LimitStatement) -> None:
         node.directory.limits.record("limited", statement)
         if statement.rate is not None:
-            node.told_at = min(node.told_at, self.env.now)
+            node.limit_known_at = min(node.limit_known_at, self.env.now)
 
-    def most_in(self, window: float, since: float, known_for: float = 0.0) -> int:
-        """The most arrivals in any window from a time on, of nodes that knew of the limit."""
+    def max_arrivals(self, window: float, since: float, known_for: float = 0.0) -> int:
+        """Return the most arrivals in any window from a time on, from nodes that knew the limit."""
         times = [
             item.at for item in self.arrivals if item.at >= since and item.known_for >= known_for
         ]
--- a/tests/unit/test_availability.py
+++ b/tests/unit/test_availability.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("by_entry", [True, False])
-def test_entry_and_answers_stop_requests_to_owner_alike(by_entry: bool) -> None:
+def test_entry_and_responses_stop_requests_to_owner_alike(by_entry: bool) -> None:
     directory = directory_of("a", "b")
     if by_entry:
         directory.put(Backend("a", "s", "127.0.0.1:0", "z1", 2, draining=True), 10.0)
@@ -298,14 +298,14 @@
     st.sampled_from([None, "a"]),
 )
 def test_nothing_is_sent_in_any_requested_period(
-    told: list[tuple[float, float]], owner: str | None
+    requested_backoffs: list[tuple[float, float]], owner: str | None
 ) -> None:
     directory = directory_of("a")
-    told = sorted(told)
+    requested_backoffs = sorted(requested_backoffs)
     for number in range(600):
         now = number / 20
-        while told and told[0][0] <= now:
-            at, seconds = told.pop(0)
+        while requested_backoffs and requested_backoffs[0][0] <= now:
+            at, seconds = requested_backoffs.pop(0)
             directory.backoffs.record("a", seconds, at)
         sent = isinstance(first_command(directory, now, owner), Attempt)
         backoff = directory.backoffs.find("a")
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Shares of one amount never add up to more than it, however nodes come, go and are cut off."""
+"""Shares never exceed the shared amount, however nodes start, stop and are cut off."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 @dataclass(eq=False)
-class Sharer:
-    """One node, which repeats as much as it may.
+class SimulatedNode:
+    """One node, which uses as much of its share as it may.
 
     Parameters
     ----------
     group
-        Nodes that hear the same leader; None: it hears none.
+        Identifies the nodes that follow the same leader; None: it has no leader.
     """
 
     group: str | None = "all"
@@ -34,12 +34,12 @@
 
 
 class Fleet:
-    """Nodes of which each hears how many follow its leader, some of them late."""
+    """Nodes that receive the number of their leader's followers, some of them late."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.now = 0.0
-        self.nodes = [Sharer() for _ in range(count)]
-        self.taken: list[float] = []
+        self.nodes = [SimulatedNode() for _ in range(count)]
+        self.acquired_at: list[float] = []
         self._random = random.Random(seed)
 
     def run(self, until: float) -> None:
@@ -51,28 +51,30 @@
                     node.size.record_node_count(groups.count(node.group), self.now)
                 sharing_nodes = node.size.sharing_nodes(WINDOW, self.now)
                 while node.budget.try_acquire(self.now, sharing_nodes):
-                    self.taken.append(self.now)
+                    self.acquired_at.append(self.now)
 
-    def most_taken(self) -> int:
-        """The most in any window."""
-        steps = sorted(set(self.taken))
-        return max((sum(at <= x < at + WINDOW for x in self.taken) for at in steps), default=0)
+    def max_acquired(self) -> int:
+        """Return the most that was acquired in any window."""
+        steps = sorted(set(self.acquired_at))
+        return max(
+            (sum(at <= x < at + WINDOW for x in self.acquired_at) for at in steps), default=0
+        )
 
 
 COUNTS = [3, 11, 74]
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_in_a_calm_time_the_amount_is_shared(count: int) -> None:
+def test_amount_is_shared_without_failures(count: int) -> None:
     fleet = Fleet(count)
     fleet.run(25.0)
-    used = sum(at >= 25.0 - WINDOW for at in fleet.taken)
-    assert fleet.most_taken() <= SLACK
-    assert used >= 0.5 * SLACK
+    acquired_in_window = sum(at >= 25.0 - WINDOW for at in fleet.acquired_at)
+    assert fleet.max_acquired() <= SLACK
+    assert acquired_in_window >= 0.5 * SLACK
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_half_of_the_nodes_that_hear_no_leader_any_more_leave_the_rest_to_the_others(
+def test_amount_is_kept_if_half_of_the_nodes_lose_their_leader(
     count: int,
 ) -> None:
     fleet = Fleet(count)
@@ -80,14 +82,15 @@
     for node in fleet.nodes[: count // 2]:
         node.group = None
     fleet.run(50.0)
-    assert fleet.most_taken() <= SLACK
+    assert fleet.max_acquired() <= SLACK
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_two_leaders_with_half_of_the_nodes_each_do_not_make_it_twice_at_once(count: int) -> None:
-    """A leader that was replaced unheard goes on for some seconds, then its nodes hear the other.
+def test_amount_is_kept_with_two_leaders(count: int) -> None:
+    """A leader that does not know that it was replaced continues for some seconds.
 
-    Its followers tell it of no more nodes than before, so that all of them go by the whole number.
+    Its followers then follow the other leader. The number that it counts is no larger than before,
+    so that all of them keep to the number of the whole fleet.
     """
     fleet = Fleet(count)
     fleet.run(20.0)
@@ -97,31 +100,31 @@
     for node in fleet.nodes:
         node.group = "all"
     fleet.run(50.0)
-    assert fleet.most_taken() <= SLACK
+    assert fleet.max_acquired() <= SLACK
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_a_fleet_that_doubles_shares_it_anew(count: int) -> None:
+def test_amount_is_kept_if_the_fleet_doubles(count: int) -> None:
     fleet = Fleet(count)
     fleet.run(20.0)
-    fleet.nodes += [Sharer() for _ in range(count)]
+    fleet.nodes += [SimulatedNode() for _ in range(count)]
     fleet.run(45.0)
-    assert fleet.most_taken() <= SLACK
+    assert fleet.max_acquired() <= SLACK
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_nodes_that_are_all_started_again_have_none_of_what_their_former_lives_used(
+def test_amount_is_kept_if_all_nodes_restart(
     count: int,
 ) -> None:
     fleet = Fleet(count)
     fleet.run(20.0)
-    fleet.nodes = [Sharer() for _ in range(count)]
+    fleet.nodes = [SimulatedNode() for _ in range(count)]
     fleet.run(45.0)
-    assert fleet.most_taken() <= SLACK
+    assert fleet.max_acquired() <= SLACK
 
 
 @pytest.mark.parametrize("count", COUNTS)
-def test_a_new_leader_that_few_have_found_yet_tells_no_low_number(count: int) -> None:
+def test_amount_is_kept_if_a_new_leader_has_few_followers(count: int) -> None:
     fleet = Fleet(count)
     fleet.run(20.0)
     for _ in range(3):
@@ -131,10 +134,10 @@
         for node in fleet.nodes:
             node.group = "new"
         fleet.run(fleet.now + 3.0)
-    assert fleet.most_taken() <= SLACK
+    assert fleet.max_acquired() <= SLACK
 
 
-def test_a_node_that_was_cut_off_has_no_share_for_a_window_after_that() -> None:
+def test_reconnected_node_has_no_share_for_a_window() -> None:
     size = FleetSize()
     for second in range(20):
         size.record_node_count(3, float(second))
--- a/tests/unit/test_limited_requests.py
+++ b/tests/unit/test_limited_requests.py
@@ -1,4 +1,4 @@
-"""One request at back ends that name how much they take: asked for, sent elsewhere, or refused."""
+"""Requests for back ends that state a limit: permitted, sent elsewhere, or refused."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from limedeck.forwarding.permits import PERMIT_LIFETIME, Permit, PermitDenied
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
-from limedeck.forwarding.request_permits import MAX_PERMIT_WAIT, MAX_PERMIT_DENIALS
+from limedeck.forwarding.request_permits import MAX_PERMIT_DENIALS, MAX_PERMIT_WAIT
 from limedeck.model import Backend, Route, Target
 from limedeck.routing.outcomes import Outcome
 
@@ -46,34 +46,34 @@
     return RequestCore(b"r%d" % round(now * 1000), route, view, directory, position, now + 2.0, now)
 
 
-def asked(command: Command) -> RequestPermit:
+def permit_command(command: Command) -> RequestPermit:
     assert isinstance(command, RequestPermit)
     return command
 
 
-def test_an_owner_that_has_room_gets_the_request_at_its_turn() -> None:
+def test_permitted_request_is_sent_to_its_owner_at_its_turn() -> None:
     core = core_of(directory_of({"a": 4.2}), keyed=True)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     assert command.permit_request.bound.rate == 4.2
     waiting = core.handle_permit(command, Permit(0.05), 10.01, NODES)
     assert waiting == Wait(10.01 + 0.05)
     assert isinstance(core.next_command(10.07, NODES), Attempt)
 
 
-def test_without_room_at_its_owner_a_request_is_refused_at_once_and_truly() -> None:
+def test_request_without_a_permit_for_its_owner_is_refused_at_once() -> None:
     directory = directory_of({"a": 4.2})
     core = core_of(directory, keyed=True)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     refused = core.handle_permit(command, PermitDenied(0.2), 10.01, NODES)
     assert isinstance(refused, Refuse)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.LIMITED)
     assert 0.2 <= refused.retry_after <= 1.0
-    # Those that come meanwhile need not ask.
+    # Requests that arrive meanwhile are refused without a permit request.
     assert isinstance(core_of(directory, 10.1, keyed=True).next_command(10.1, NODES), Refuse)
-    asked(core_of(directory, 10.3, keyed=True).next_command(10.3, NODES))
+    permit_command(core_of(directory, 10.3, keyed=True).next_command(10.3, NODES))
 
 
-def test_callers_are_told_to_return_one_after_the_other() -> None:
+def test_retry_times_of_refused_callers_are_spread() -> None:
     directory = directory_of({"a": 1.0})
     directory_state = directory.find("a")
     assert directory_state is not None
@@ -87,29 +87,29 @@
     assert len(times) >= 5
 
 
-def test_a_permit_that_came_too_late_is_not_used() -> None:
-    """A machine that froze would send what the back end has had from others meanwhile."""
+def test_permit_that_arrives_too_late_is_not_used() -> None:
+    """A node that froze would send in addition to what others have sent meanwhile."""
     core = core_of(directory_of({"a": 4.2}), keyed=True)
-    command = asked(core.next_command(10.0, NODES))
-    asked(core.handle_permit(command, Permit(0.0), 10.01 + PERMIT_LIFETIME, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
+    permit_command(core.handle_permit(command, Permit(0.0), 10.01 + PERMIT_LIFETIME, NODES))
 
 
-def test_a_permit_that_was_not_used_in_time_is_not_used_later() -> None:
+def test_permit_is_not_used_after_it_expired() -> None:
     core = core_of(directory_of({"a": 4.2}), keyed=True)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     assert isinstance(core.handle_permit(command, Permit(0.08), 10.01, NODES), Wait)
-    asked(core.next_command(10.01 + PERMIT_LIFETIME, NODES))
+    permit_command(core.next_command(10.01 + PERMIT_LIFETIME, NODES))
 
 
-def test_another_attempt_needs_another_permit() -> None:
+def test_each_attempt_needs_its_own_permit() -> None:
     core = core_of(directory_of({"a": 4.2}), keyed=True)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     assert isinstance(core.handle_permit(command, Permit(0.0), 10.01, NODES), Attempt)
     core.next_command(10.02, NODES)
-    asked(core.next_command(10.02, NODES))
+    permit_command(core.next_command(10.02, NODES))
 
 
-def test_what_has_no_room_is_sent_to_another_one_and_no_attempt_is_lost_by_that() -> None:
+def test_denied_request_is_sent_elsewhere_without_counting_an_attempt() -> None:
     directory = directory_of({"a": 4.2, "b": 3.0, "c": None})
     core = core_of(directory)
     command = core.next_command(10.0, NODES)
@@ -120,7 +120,7 @@
     assert core.attempts == 1
 
 
-def test_a_request_asks_few_back_ends_and_is_then_sent_or_refused() -> None:
+def test_request_is_refused_after_the_maximum_of_permit_denials() -> None:
     limits: dict[str, float | None] = {f"b{number}": 3.2 for number in range(20)}
     core = core_of(directory_of(limits))
     command = core.next_command(10.0, NODES)
@@ -134,41 +134,41 @@
     assert command.retry_after > 0.0
 
 
-def test_the_urgent_and_who_came_back_wait_longer_for_their_turn() -> None:
-    patience = []
+def test_urgent_requests_and_client_retries_wait_longer_for_their_turn() -> None:
+    max_waits = []
     for priority in (0, 1, 4):
         core = core_of(directory_of({"a": 4.2}), priority=priority)
-        patience.append(asked(core.next_command(10.0, NODES)).permit_request.max_wait)
-    assert patience == [MAX_PERMIT_WAIT, MAX_PERMIT_WAIT / 2, MAX_PERMIT_WAIT / 5]
+        max_waits.append(permit_command(core.next_command(10.0, NODES)).permit_request.max_wait)
+    assert max_waits == [MAX_PERMIT_WAIT, MAX_PERMIT_WAIT / 2, MAX_PERMIT_WAIT / 5]
     core = core_of(directory_of({"a": 4.2}), priority=4)
     core.claim.is_client_retry = True
-    assert asked(core.next_command(10.0, NODES)).permit_request.max_wait == MAX_PERMIT_WAIT
+    assert permit_command(core.next_command(10.0, NODES)).permit_request.max_wait == MAX_PERMIT_WAIT
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_who_was_turned_away_hears_that_the_limit_is_lifted(keyed: bool) -> None:
-    """A node sent a back end nothing for 40 s that had named zero and needed no limit any more.
+def test_denial_does_not_outlast_the_limit(keyed: bool) -> None:
+    """A node sent no requests for 40 s to a back end whose limit of zero was lifted.
 
-    Another node had heard so, and told it; but it had been told to ask no sooner.
+    Another node had sent it the update, but the last denial ruled out permit requests until later.
     """
     directory = directory_of({"a": 0.0})
     core = core_of(directory, keyed=keyed)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     assert isinstance(core.handle_permit(command, PermitDenied(40.0), 10.01, NODES), Refuse)
     directory.limits.record("a", LimitStatement(None, 10.1, 10.2), object())
     assert isinstance(core_of(directory, 10.3, keyed).next_command(10.3, NODES), Attempt)
 
 
-def test_who_was_turned_away_asks_again_soon_since_a_limit_may_have_risen() -> None:
+def test_permit_is_requested_again_soon_after_a_long_denial() -> None:
     directory = directory_of({"a": 0.0})
     core = core_of(directory)
-    command = asked(core.next_command(10.0, NODES))
+    command = permit_command(core.next_command(10.0, NODES))
     assert isinstance(core.handle_permit(command, PermitDenied(40.0), 10.01, NODES), Refuse)
     directory.limits.record("a", LimitStatement(40.0, 10.1, 10.2), object())
-    asked(core_of(directory, 11.1).next_command(11.1, NODES))
+    permit_command(core_of(directory, 11.1).next_command(11.1, NODES))
 
 
-def test_another_life_of_a_back_end_has_no_limit() -> None:
+def test_limit_does_not_apply_to_another_incarnation() -> None:
     directory = BackendDirectory("z1", "n")
     directory.put(Backend("a@1", "s", "127.0.0.1:1", "z1", 2, instance="a"), 0.0)
     directory.limits.record("a@1", LimitStatement(0.3, 1.0, 1.1))
@@ -177,7 +177,7 @@
     assert directory.limits.limited() == {}
 
 
-def test_of_a_cold_one_that_names_a_limit_the_lower_bound_holds() -> None:
+def test_lower_of_cold_rate_and_stated_limit_applies() -> None:
     directory = directory_of({"a": 4.2})
     state = directory.find("a")
     assert state is not None
@@ -188,8 +188,8 @@
 
 
 @pytest.mark.parametrize("reports_load", [True, False])
-def test_one_that_names_a_limit_is_used_though_it_was_slow_once(reports_load: bool) -> None:
-    """Five real nodes sent it nothing for eight seconds: it could not say that it is well again."""
+def test_back_end_with_a_limit_is_chosen_even_if_it_was_slow(reports_load: bool) -> None:
+    """Otherwise it cannot state that it has recovered: five real nodes sent it nothing for 8 s."""
     limits: dict[str, float | None] = {"a": 4.2, "b": None, "c": None, "d": None}
     directory = directory_of(limits)
     for state in directory.all_states():
@@ -197,5 +197,5 @@
         state.record_response(took, LoadReport(1, 0, 2) if reports_load else None, 1.0, "r")
         state.reports_load = reports_load
     chosen = [core_of(directory, 10.0 + n / 100).next_command(10.0, NODES) for n in range(300)]
-    asks = sum(isinstance(command, RequestPermit) for command in chosen)
-    assert 300 / 4 <= asks <= 2.2 * 300 / 4
+    permit_requests = sum(isinstance(command, RequestPermit) for command in chosen)
+    assert 300 / 4 <= permit_requests <= 2.2 * 300 / 4
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""What a node believes of limits: which word is the newer one, and how long it is believed."""
+"""A node's knowledge of limits: which statement supersedes which, and how long it is kept."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from limedeck.node.telemetry import Telemetry
 
 
-def told(*statements: LimitStatement) -> float | None:
+def rate_after(*statements: LimitStatement) -> float | None:
     ledger = LimitLedger()
     for statement in statements:
         ledger.record("a", statement)
     return ledger.rate("a")
 
 
-def test_an_answer_names_a_limit_and_a_later_one_lifts_it() -> None:
+def test_later_response_lifts_the_limit() -> None:
     named = LimitStatement(4.2, 1.0, 1.1)
-    assert told(named) == 4.2
-    assert told(named, LimitStatement(None, 1.1, 1.2)) is None
+    assert rate_after(named) == 4.2
+    assert rate_after(named, LimitStatement(None, 1.1, 1.2)) is None
 
 
-def test_an_answer_that_was_asked_for_before_the_limit_was_heard_does_not_lift_it() -> None:
-    assert told(LimitStatement(4.2, 1.0, 1.1), LimitStatement(None, 1.05, 3.0)) == 4.2
+def test_response_to_an_earlier_request_does_not_lift_the_limit() -> None:
+    assert rate_after(LimitStatement(4.2, 1.0, 1.1), LimitStatement(None, 1.05, 3.0)) == 4.2
 
 
-def test_an_answer_on_its_way_for_long_does_not_bring_a_former_limit_back() -> None:
+def test_delayed_response_does_not_restore_a_former_limit() -> None:
     lifted = LimitStatement(None, 2.0, 2.1)
-    assert told(LimitStatement(4.2, 1.0, 1.1), lifted, LimitStatement(4.2, 1.2, 1.9)) is None
+    assert rate_after(LimitStatement(4.2, 1.0, 1.1), lifted, LimitStatement(4.2, 1.2, 1.9)) is None
 
 
-def test_of_two_that_were_on_their_way_together_the_stricter_one_is_believed() -> None:
+def test_stricter_of_two_concurrent_statements_applies() -> None:
     one, other = LimitStatement(40.0, 1.0, 1.2), LimitStatement(3.0, 1.1, 1.3)
-    assert told(one, other) == told(other, one) == 3.0
-    assert told(one, other, LimitStatement(40.0, 1.3, 1.4)) == 40.0
+    assert rate_after(one, other) == rate_after(other, one) == 3.0
+    assert rate_after(one, other, LimitStatement(40.0, 1.3, 1.4)) == 40.0
 
 
-def test_a_limit_is_believed_however_old_it_is_and_ends_with_the_life() -> None:
+def test_limit_does_not_expire_and_ends_with_the_incarnation() -> None:
     ledger = LimitLedger()
     ledger.record("a", LimitStatement(0.3, 1.0, 1.1))
     ledger.drop_unlisted({"a"}, 1e6)
@@ -51,7 +51,7 @@
     assert ledger.rate("a") is None
 
 
-def test_a_limit_of_one_that_is_not_listed_is_kept_until_nodes_have_heard_of_its_entry() -> None:
+def test_limit_of_an_unlisted_back_end_is_kept_for_the_retention() -> None:
     ledger = LimitLedger()
     ledger.record("a", LimitStatement(0.3, 1.0, 1.0))
     ledger.drop_unlisted({}, 1.0 + UNLISTED_RETENTION)
@@ -60,12 +60,12 @@
     assert ledger.rate("a") is None
 
 
-def test_others_are_told_what_they_did_not_tell() -> None:
+def test_changes_are_not_sent_back_to_their_source() -> None:
     ledger, peer, other = LimitLedger(), object(), object()
     ledger.record("a", LimitStatement(4.2, 1.0, 1.1), peer)
     assert ledger.updates_since(0, peer)[0] == []
-    news, version = ledger.updates_since(0, other)
-    assert [(item.backend_id, item.statement.rate) for item in news] == [("a", 4.2)]
+    updates, version = ledger.updates_since(0, other)
+    assert [(item.backend_id, item.statement.rate) for item in updates] == [("a", 4.2)]
     ledger.record("a", LimitStatement(4.2, 2.0, 2.1))
     assert ledger.updates_since(version, other)[0] == []
     ledger.record("a", LimitStatement(None, 3.0, 3.1))
@@ -74,7 +74,7 @@
 
 
 STATEMENTS = st.builds(
-    lambda rate, asked, took: LimitStatement(rate, asked, asked + took),
+    lambda rate, requested_at, took: LimitStatement(rate, requested_at, requested_at + took),
     st.sampled_from([None, 0.0, 0.3, 3.0, 40.0]),
     st.floats(0.0, 5.0),
     st.floats(0.001, 1.0),
@@ -82,15 +82,17 @@
 
 
 @given(st.lists(STATEMENTS, max_size=12))
-def test_the_last_word_wins_whatever_came_before_and_in_which_order(
+def test_statement_made_after_all_others_applies(
     earlier: list[LimitStatement],
 ) -> None:
-    """A request that is sent once all others are answered tells what holds."""
-    assert told(*earlier, LimitStatement(7.0, 6.0, 6.1)) == 7.0
-    assert told(LimitStatement(9.0, 0.0, 0.0), *earlier, LimitStatement(None, 6.0, 6.1)) is None
+    """The response to a request sent after all other responses states the limit that applies."""
+    assert rate_after(*earlier, LimitStatement(7.0, 6.0, 6.1)) == 7.0
+    assert (
+        rate_after(LimitStatement(9.0, 0.0, 0.0), *earlier, LimitStatement(None, 6.0, 6.1)) is None
+    )
 
 
-def test_each_change_is_told_once_with_its_source_and_counted() -> None:
+def test_each_change_is_logged_once_with_its_source_and_counted() -> None:
     directory, telemetry = BackendDirectory("z1", "n"), Telemetry()
     directory.put(Backend("a", "s", "127.0.0.1:1", "z1", 2), 0.0)
     log = StatementLog(directory, telemetry)
--- a/tests/unit/test_statements.py
+++ b/tests/unit/test_statements.py
@@ -16,8 +16,8 @@
 from limedeck.node.telemetry import Telemetry
 
 
-def listed(life: int = 1, draining: bool = False) -> Backend:
-    return Backend(f"a@{life}", "s", "127.0.0.1:1", "z1", 2, draining, instance="a")
+def listed(incarnation: int = 1, draining: bool = False) -> Backend:
+    return Backend(f"a@{incarnation}", "s", "127.0.0.1:1", "z1", 2, draining, instance="a")
 
 
 def test_announcements_and_revocations_are_sent_with_their_ages() -> None:
@@ -99,7 +99,7 @@
     assert ledger.leaving_since("a") == min(max(pair) for pair in times)
 
 
-def test_later_answer_does_not_shorten_a_backoff() -> None:
+def test_later_response_does_not_shorten_a_backoff() -> None:
     ledger = BackoffLedger("n")
     ledger.record("a", 3.0, 10.0)
     ledger.record("a", 1.0, 10.5)
--- a/tests/unit/test_statements_in_fleets.py
+++ b/tests/unit/test_statements_in_fleets.py
@@ -59,8 +59,8 @@
                         f"back end {self.name} is leaving, but got a request of node {node} "
                         f"that began at {began:.2f} s"
                     )
-            for asked, seconds in self.backoffs.get(node, []):
-                begin, end = asked + BACKOFF_GRACE, asked + seconds
+            for requested_at, seconds in self.backoffs.get(node, []):
+                begin, end = requested_at + BACKOFF_GRACE, requested_at + seconds
                 count = sum(begin <= at < end for _, at in arrivals)
                 if count > MAX_REQUESTS_IN_BACKOFF:
                     violations.append(
@@ -138,14 +138,14 @@
             else:
                 assert isinstance(command, Refuse)
                 if core.attempts == 0:
-                    taken = self.env.now - began
-                    self.slowest_refusal = max(self.slowest_refusal, taken)
+                    elapsed = self.env.now - began
+                    self.slowest_refusal = max(self.slowest_refusal, elapsed)
                 return
 
     def _attempt(
         self, node: int, attempt: Attempt, began: float
     ) -> Generator[simpy.Event, object, bool]:
-        """Send a request and record the statements in its answer; return whether it was served."""
+        """Send a request, record the statements in its response; return whether it was served."""
         state, requested_at = attempt.state, self.env.now
         backend = self.backends[state.backend.backend_id]
         state.outstanding += 1
--- a/tests/unit/test_ways_to_keep_a_limit.py
+++ b/tests/unit/test_ways_to_keep_a_limit.py
@@ -1,7 +1,7 @@
-"""Ways to keep a limit of all nodes together, compared: what each costs and where each fails.
+"""Comparison of ways in which all nodes together can keep a limit: their cost and failures.
 
 The figures in `docs/design/limits.md` are what this module prints when it is run with `python -m`.
-Shares and a single sender are not built; they stand here as what was weighed.
+Shares and a single sender are not implemented; they are the alternatives that were considered.
 """
 
 from __future__ import annotations
@@ -17,47 +17,47 @@
 SECONDS = 60.0
 LIMIT = 4.2
 DEMAND = 60.0
-"""Requests a second of all nodes."""
+"""Requests a second from all nodes together."""
 ALLOWED = 1.5 * LIMIT * WINDOW + 5
 NODES = (3, 11, 74, 195)
 
 
 @dataclass(frozen=True)
 class Figures:
-    """What the back end got.
+    """The requests that the back end got.
 
     Parameters
     ----------
-    most
-        Requests in any 4 s.
+    max_count
+        Most requests in any 4 s.
     used
-        Part of its limit over the whole time.
+        Part of its limit that was used over the whole time.
     """
 
-    most: int
+    max_count: int
     used: float
 
 
 def _figures(times: list[float], seconds: float) -> Figures:
     times = sorted(times)
-    most = max((sum(at <= x < at + WINDOW for x in times) for at in times), default=0)
-    return Figures(most, len(times) / seconds / LIMIT)
+    max_count = max((sum(at <= x < at + WINDOW for x in times) for at in times), default=0)
+    return Figures(max_count, len(times) / seconds / LIMIT)
 
 
-def shares(nodes: int, believed: int, at_once: float) -> Figures:
-    """Each node sends its share, by how many nodes it believes there are.
+def shares(nodes: int, assumed_nodes: int, burst: float) -> Figures:
+    """Simulate nodes that each send a share, by the number of nodes that they assume.
 
     Parameters
     ----------
-    at_once
-        Requests that a node may send at once when it has not sent for long.
+    burst
+        Requests that a node may send at once after a long pause.
     """
     source = random.Random(7)
     sent = []
     for _ in range(nodes):
-        tokens, last, now = at_once, 0.0, 0.0
+        tokens, last, now = burst, 0.0, 0.0
         while (now := now + source.expovariate(DEMAND / nodes)) < SECONDS:
-            tokens = min(tokens + (now - last) * LIMIT / believed, max(at_once, 1.0))
+            tokens = min(tokens + (now - last) * LIMIT / assumed_nodes, max(burst, 1.0))
             last = now
             if tokens >= 1.0:
                 tokens -= 1.0
@@ -66,7 +66,7 @@
 
 
 def single_sender(nodes: int) -> Figures:
-    """Only one node sends, from the callers that it happens to have; half of the limit."""
+    """Simulate one node that sends its own callers' requests, at half of the limit."""
     source = random.Random(7)
     sent: list[float] = []
     now, free_at = 0.0, 0.0
@@ -78,7 +78,7 @@
 
 
 def permits(nodes: int) -> Figures:
-    """The leader lends a permit for each request."""
+    """Simulate a leader that issues a permit for each request."""
     world = PermitWorld(7, nodes, DEMAND)
     world.elect(world.nodes)
     world.limit = LIMIT
@@ -89,27 +89,27 @@
 
 
 @pytest.mark.parametrize("nodes", NODES)
-def test_permits_keep_the_limit_and_use_it_at_any_size(nodes: int) -> None:
+def test_permits_keep_and_use_the_limit_in_fleets_of_any_size(nodes: int) -> None:
     got = permits(nodes)
-    assert got.most <= ALLOWED
+    assert got.max_count <= ALLOWED
     assert got.used >= 0.7
 
 
 @pytest.mark.parametrize("nodes", NODES)
-def test_shares_break_it_with_a_count_that_is_out_of_date(nodes: int) -> None:
-    assert shares(nodes, max(nodes // 2, 1), 1.0).most > ALLOWED
+def test_shares_exceed_the_limit_with_an_outdated_node_count(nodes: int) -> None:
+    assert shares(nodes, max(nodes // 2, 1), 1.0).max_count > ALLOWED
 
 
-def test_shares_break_it_by_the_one_request_that_each_node_may_start_with() -> None:
-    assert shares(195, 195, 1.0).most > ALLOWED
+def test_shares_exceed_the_limit_by_the_first_request_of_each_node() -> None:
+    assert shares(195, 195, 1.0).max_count > ALLOWED
 
 
-def test_a_single_sender_leaves_most_of_it_unused_in_a_large_fleet() -> None:
+def test_single_sender_leaves_most_of_the_limit_unused_in_a_large_fleet() -> None:
     assert single_sender(195).used < 0.2
 
 
 def main() -> None:
-    """Print the figures of all ways."""
+    """Print the figures of all alternatives."""
     for nodes in NODES:
         ways = {
             "permits": permits(nodes),
@@ -119,7 +119,7 @@
             "a single sender": single_sender(nodes),
         }
         for name, got in ways.items():
-            print(f"{nodes:4} nodes  {name:24} most in 4 s {got.most:4}  used {got.used:.2f}")
+            print(f"{nodes:4} nodes  {name:24} most in 4 s {got.max_count:4}  used {got.used:.2f}")
 
 
 if __name__ == "__main__":
