--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -121,8 +121,8 @@
         self._load_reported_at: Seconds = NEVER
         self._slowdown = 1.0
         self._mean_slowdown = 1.0
-        self._fleet_load = 0.0
-        self._fleet_load_at: Seconds = NEVER
+        self._other_requests_from_leader = 0.0
+        self._leader_data_at: Seconds = NEVER
         self._reported_outstanding = 0
         self._responses = 0
         self._own_faults = 0
@@ -168,8 +168,8 @@
             It fails more often than others and should not be chosen.
         """
         self._excluded_until = now + FLEET_LOAD_LIFE if excluded else NEVER
-        self._fleet_load = float(max(outstanding - self._reported_outstanding, 0))
-        self._fleet_load_at = now
+        self._other_requests_from_leader = float(max(outstanding - self._reported_outstanding, 0))
+        self._leader_data_at = now
         if service_time > 0.0:
             self.service_time = service_time
 
@@ -269,29 +269,29 @@
 
     def _expected_other_requests(self, now: Seconds) -> float:
         """Estimate other nodes' requests to it from the newest response or the leader's data."""
-        others = self._other_requests
-        if others:
-            others *= math.exp(-(now - self._load_reported_at) / LOAD_DECAY_TIME)
-        if now - self._fleet_load_at >= FLEET_LOAD_LIFE:
-            return others
-        elsewhere = self._fleet_load * self._other_requests_growth()
+        from_responses = self._other_requests
+        if from_responses:
+            from_responses *= math.exp(-(now - self._load_reported_at) / LOAD_DECAY_TIME)
+        if now - self._leader_data_at >= FLEET_LOAD_LIFE:
+            return from_responses
+        from_leader = self._other_requests_from_leader * self._other_requests_growth()
         if not self.reports_load:
-            return max(others, elsewhere)
-        counted_at = self._fleet_load_at - FLEET_LOAD_AGE
-        return elsewhere if counted_at > self._load_reported_at else others
+            return max(from_responses, from_leader)
+        counted_at = self._leader_data_at - FLEET_LOAD_AGE
+        return from_leader if counted_at > self._load_reported_at else from_responses
 
     def _other_requests_growth(self) -> float:
         """Estimate the growth of other nodes' requests to it since the last report, as a factor.
 
         A surge affects all nodes alike, and shows first in this node's own requests.
         """
-        now_here = self.outstanding + GROWTH_SMOOTHING_REQUESTS
-        growth = now_here / (self._reported_outstanding + GROWTH_SMOOTHING_REQUESTS)
+        current = self.outstanding + GROWTH_SMOOTHING_REQUESTS
+        growth = current / (self._reported_outstanding + GROWTH_SMOOTHING_REQUESTS)
         return min(max(growth, 1.0 / MAX_GROWTH), MAX_GROWTH)
 
     def load_age(self, now: Seconds) -> Seconds:
         """Return the age of the newest data on other nodes' requests to it."""
-        return now - max(self._load_reported_at, self._fleet_load_at)
+        return now - max(self._load_reported_at, self._leader_data_at)
 
     def is_full(self, now: Seconds) -> bool:
         """Whether it reports no load and may reset one more request because its queue is full."""
