--- a/src/limedeck/http_client.py
+++ b/src/limedeck/http_client.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 towards back ends and the store: connections are kept and checked here.
+"""HTTP/1.1 client for back ends and the store, with its own connection pool.
 
-A library's pool does not tell whether a byte was sent, takes an answer without a length as whole
-when its connection was reset, and may read a late second answer as the next one's. Each of these
-decides whether a request may run again, so connections are kept here (docs/LIBRARIES.md).
+The connection pools of libraries do not report whether a byte was sent, accept a response without a
+length as complete when its connection was reset, and may read a late second response as that of
+the next request. Each of these decides whether a request may run again, so this module has its own
+pool (docs/LIBRARIES.md).
 """
 
 from __future__ import annotations
@@ -26,49 +27,49 @@
 
 SocketOption = tuple[int, int, int]
 CONNECT_TIMEOUT: Seconds = 0.25
-"""A caller then still has time for another back end; an estimate."""
-DEFAULT_IDLE: Seconds = 3.0
-"""An idle connection is kept so long if the back end does not tell its own limit."""
-RESET_WATCH: Seconds = 0.008
-"""A back end that has too many connections, or too long a queue, resets a new one within about so
-long: a node's log had such resets 5 ms after opening (docs/policy/large-fleets.md)."""
-IDLE_MARGIN: Seconds = 1.0
-"""An idle connection is dropped so long before the back end would close it."""
-UNACKNOWLEDGED_LIMIT: Seconds = 0.5
-"""Bytes that the other end's machine has not acknowledged for so long: the connection is dead. Kept
-connections may go silent without a reset, and a request sent on one would wait for its caller's
-deadline. Above the first repetition of a lost segment (0.2 s). Linux 6.18 ends such a connection
-0.92 s after sending, by a loopback connection whose other end drops all that comes; without it, a
-request with 20 s left failed after 20 s (test_silent_connections.py)."""
+"""Short enough to leave the caller time for an attempt at another back end."""
+DEFAULT_IDLE_TIMEOUT: Seconds = 3.0
+"""How long an idle connection is kept if the back end states no timeout in `Keep-Alive`."""
+EARLY_RESET_WINDOW: Seconds = 0.008
+"""Time within which a back end that has too many connections, or too long a queue, resets a new
+connection: such resets came 5 ms after the connection opened (docs/policy/large-fleets.md)."""
+IDLE_TIMEOUT_MARGIN: Seconds = 1.0
+"""How long before the back end's own idle timeout a connection is no longer used."""
+UNACKNOWLEDGED_TIMEOUT: Seconds = 0.5
+"""`TCP_USER_TIMEOUT`: a connection whose sent bytes stay unacknowledged for so long is dead. Idle
+connections may stop working without a reset, and a request sent on one would wait until its
+caller's deadline. Above the first retransmission of a lost segment (0.2 s). On a loopback
+connection whose other end drops all packets, Linux 6.18 ends the connection 0.92 s after sending;
+without the option, a request with 20 s left failed after 20 s (test_silent_connections.py)."""
 UNACKNOWLEDGED = "unacknowledged"
-"""Problem of an attempt whose connection was given up by that bound."""
+"""Problem of an attempt whose connection was ended by `UNACKNOWLEDGED_TIMEOUT`."""
 OUT_OF_TIME = "out of time"
-"""Problem of an attempt that was given up when its time was over."""
+"""Problem of an attempt that was aborted at its deadline."""
 CONNECTION_REFUSED = "connection refused"
-"""Problem of an attempt: the machine answers, and no process listens at the port."""
-READ_BYTES = 65_536
-SMALL_BODY = 16_384
-"""A body up to this size is sent whole before the answer is read."""
+"""Problem of an attempt: the host is reachable, but no process listens on the port."""
+MAX_READ_BYTES = 65_536
+SMALL_BODY_BYTES = 16_384
+"""A body up to this size is sent completely before the response is read."""
 
 
-NO_SOCKET = (AttributeError, OSError, ValueError)
-"""What event loops raise where a stream was reset by the other end, and has no socket any more."""
+MISSING_SOCKET_ERRORS = (AttributeError, OSError, ValueError)
+"""Errors of event loops on access to the socket of a stream that the other end has reset."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of `SO_LINGER`: closing resets the connection at once."""
+"""Value of `SO_LINGER` with which closing a socket resets the connection at once."""
 DEAD_CONNECTION_OPTIONS: Sequence[SocketOption] = (
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED_LIMIT * 1000)),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED_TIMEOUT * 1000)),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request as a server gets it.
+    """A request to a server.
 
     Parameters
     ----------
     watched
-        A new connection must have outlasted `RESET_WATCH` before the request is sent on it: if the
-        reset comes later, nobody knows whether it has run.
+        Before the request is sent on a new connection, wait `EARLY_RESET_WINDOW` for a reset: after
+        a reset that follows sending, it is unknown whether the request has run.
     """
 
     address: str
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -89,47 +90,47 @@
 
 
 class _Connection:
-    """One connection, and the reader of its newest answer."""
+    """A connection, and the parser of its latest response."""
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        self._reader = http_codec.ResponseParser()
+        self._parser = http_codec.ResponseParser()
         self.idle_until: Seconds = 0.0
         self._body_sent = False
         self._descriptor = stream.extra(SocketAttribute.raw_socket).fileno()
         self._poll = select.poll()
         self._poll.register(self._descriptor, select.POLLIN)
 
-    def is_quiet(self) -> bool:
-        """Whether nothing came since the last answer: neither its end nor surplus bytes."""
+    def has_no_input(self) -> bool:
+        """Whether neither bytes nor the connection's end have arrived since the last response."""
         return not self._poll.poll(0)
 
     async def exchange(self, request: HttpRequest) -> HttpResponse:
-        """Send a request and read the whole answer."""
-        head = self._encoded(request)
-        self._reader = http_codec.ResponseParser(request.method == b"HEAD")
-        if len(request.body) <= SMALL_BODY:
+        """Send a request and read the complete response."""
+        head = self._encode_head(request)
+        self._parser = http_codec.ResponseParser(request.method == b"HEAD")
+        if len(request.body) <= SMALL_BODY_BYTES:
             await self._send(head + request.body)
             return await self._receive()
         await self._send(head)
         return await self._receive_while_sending(request.body)
 
     async def _receive_while_sending(self, body: bytes) -> HttpResponse:
-        answer: HttpResponse | AttemptFailed
+        response: HttpResponse | AttemptFailed
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._send_quietly, body)
+            tasks.start_soon(self._send_ignoring_errors, body)
             try:
-                answer = await self._receive()
+                response = await self._receive()
             except AttemptFailed as error:
-                answer = error
+                response = error
             tasks.cancel_scope.cancel()
-        if isinstance(answer, AttemptFailed):
-            raise answer
-        return answer
+        if isinstance(response, AttemptFailed):
+            raise response
+        return response
 
-    def _encoded(self, request: HttpRequest) -> bytes:
+    def _encode_head(self, request: HttpRequest) -> bytes:
         try:
-            return http_codec.encoded_head(
+            return http_codec.encode_head(
                 request.method, request.target, request.headers, len(request.body)
             )
         except http_codec.BadRequest as error:
@@ -139,10 +140,11 @@
         try:
             await self.stream.send(data)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise AttemptFailed(FailurePhase.SENDING, _problem(error), True) from error
+            raise AttemptFailed(FailurePhase.SENDING, _describe_error(error), True) from error
 
-    async def _send_quietly(self, data: bytes) -> None:
-        # What went wrong shows in the answer, which may have come before the body was read.
+    async def _send_ignoring_errors(self, data: bytes) -> None:
+        # The server may respond before it has read the body: reading the response tells whether
+        # the exchange failed.
         try:
             await self.stream.send(data)
             self._body_sent = True
@@ -150,64 +152,65 @@
             return
 
     async def _receive(self) -> HttpResponse:
-        reader = self._reader
-        while not reader.is_whole:
-            phase = FailurePhase.ANSWERING if reader.has_head else FailurePhase.AWAITING
+        parser = self._parser
+        while not parser.is_complete:
+            phase = FailurePhase.ANSWERING if parser.has_head else FailurePhase.AWAITING
             try:
-                reader.feed(await self.stream.receive(READ_BYTES))
+                parser.feed(await self.stream.receive(MAX_READ_BYTES))
             except anyio.EndOfStream:
-                self._take_end(reader, phase)
+                self._handle_end_of_stream(parser, phase)
             except http_codec.BadResponse as error:
-                phase = FailurePhase.ANSWERING if reader.has_head else FailurePhase.AWAITING
+                phase = FailurePhase.ANSWERING if parser.has_head else FailurePhase.AWAITING
                 raise AttemptFailed(phase, str(error), by_other_end=True) from error
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-                raise AttemptFailed(phase, _problem(error), by_other_end=True) from error
-        return HttpResponse(reader.status, reader.headers, reader.body)
+                raise AttemptFailed(phase, _describe_error(error), by_other_end=True) from error
+        return HttpResponse(parser.status, parser.headers, parser.body)
 
-    def _take_end(self, reader: http_codec.ResponseParser, phase: FailurePhase) -> None:
+    def _handle_end_of_stream(self, parser: http_codec.ResponseParser, phase: FailurePhase) -> None:
         try:
-            reader.feed_end()
+            parser.feed_end()
         except http_codec.BadResponse as error:
             raise AttemptFailed(phase, str(error), by_other_end=True) from error
 
-    def can_be_reused(self, answer: HttpResponse, sent_whole: bool, now: Seconds) -> bool:
-        """Prepare for the next request; False when the connection must not be used again."""
-        if not sent_whole or not self._reader.may_go_on:
+    def prepare_for_reuse(self, response: HttpResponse, is_fully_sent: bool, now: Seconds) -> bool:
+        """Set until when the connection may stay idle; False if it must not be reused."""
+        if not is_fully_sent or not self._parser.is_reusable:
             return False
-        self.idle_until = now + _idle_time(answer.headers)
+        self.idle_until = now + _idle_time(response.headers)
         return True
 
-    def sent_whole(self, request: HttpRequest) -> bool:
-        """Whether all of the request was handed to the connection."""
-        return len(request.body) <= SMALL_BODY or self._body_sent
+    def is_fully_sent(self, request: HttpRequest) -> bool:
+        """Whether the complete request was written to the connection."""
+        return len(request.body) <= SMALL_BODY_BYTES or self._body_sent
 
     async def aclose(self) -> None:
-        """Drop the connection without waiting for anything."""
+        """Close the connection without waiting for its other end."""
         await anyio.aclose_forcefully(self.stream)
 
     async def reset(self) -> None:
-        """Drop the connection, and what was sent on it and has not arrived.
+        """Reset the connection, which discards sent bytes that have not arrived.
 
-        A cut may hold bytes up for seconds, and deliver them after the connection was closed: a
-        grant that had been given up gave a former owner keys that were another one's by then.
+        A network partition may delay bytes for seconds and deliver them after the connection was
+        closed: a grant that the leader had abandoned gave a former owner keys that belonged to
+        another owner by then.
         """
-        with contextlib.suppress(*NO_SOCKET):
+        with contextlib.suppress(*MISSING_SOCKET_ERRORS):
             raw = self.stream.extra(SocketAttribute.raw_socket)
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await self.aclose()
 
 
 class HttpClient:
-    """Connections to servers, found by address.
+    """HTTP client with a pool of connections by server address.
 
     Parameters
     ----------
     local_host
-        IP number that connections come from, or None for any.
+        Local IP address of the connections, or None for any.
     connect_timeout
-        Longest time to wait for a connection, in seconds.
+        Longest time to wait until a connection is established, in seconds.
     socket_options
-        Of each connection: level, name, value, as `socket.setsockopt` takes them.
+        Level, name and value of options set on each connection, as for `socket.setsockopt`.
     """
 
     def __init__(
@@ -224,41 +227,41 @@
         self.connections_opened = 0
 
     async def exchange(self, request: HttpRequest, until: Seconds) -> HttpResponse:
-        """Send a request and wait for the whole answer.
+        """Send a request and wait for the complete response.
 
         Raises
         ------
         AttemptFailed
-            There is none by `until` (on this node's clock).
+            There is no complete response by `until` (on this node's clock).
         """
-        connection = await self._take(request, until)
+        connection = await self._acquire(request, until)
         reusable = False
-        is_answered = False
+        has_response = False
         try:
-            with self._ended_at(until):
-                answer = await connection.exchange(request)
-                is_answered = True
-                sent_whole = connection.sent_whole(request)
-                reusable = connection.can_be_reused(answer, sent_whole, steady_clock())
-                return answer
+            with self._deadline(until):
+                response = await connection.exchange(request)
+                has_response = True
+                is_fully_sent = connection.is_fully_sent(request)
+                reusable = connection.prepare_for_reuse(response, is_fully_sent, steady_clock())
+                return response
             raise AttemptFailed(FailurePhase.AWAITING, OUT_OF_TIME)
         except AttemptFailed as error:
             if error.problem == UNACKNOWLEDGED:
-                await self._drop_address(request.address)
+                await self._drop_idle_to(request.address)
             raise
         finally:
             if reusable:
                 self._idle.setdefault(request.address, deque()).append(connection)
             else:
                 with anyio.CancelScope(shield=True):
-                    await (connection.aclose() if is_answered else connection.reset())
+                    await (connection.aclose() if has_response else connection.reset())
 
     @contextlib.contextmanager
-    def _ended_at(self, until: Seconds) -> Iterator[None]:
-        """Leave the block when the time is over."""
+    def _deadline(self, until: Seconds) -> Iterator[None]:
+        """Cancel the block at `until`, or earlier by `abort_expired`."""
         time_left = until - steady_clock()
         if time_left <= 0.0:
-            # The machine was suspended while the connection came up, which no timer counts.
+            # The machine may have been suspended during connecting; timers do not count that time.
             raise AttemptFailed(FailurePhase.NOT_SENT, OUT_OF_TIME)
         with anyio.move_on_after(time_left) as scope:
             self._under_way[scope] = until
@@ -268,33 +271,33 @@
                 del self._under_way[scope]
 
     def abort_expired(self, now: Seconds) -> None:
-        """Give up exchanges whose time is over, although their timers have not ended.
+        """Abort exchanges whose deadline has passed although their timers have not expired.
 
-        Timers do not count the time that the machine was suspended.
+        Timers do not count the time for which the machine was suspended.
         """
         for scope, until in self._under_way.items():
             if until <= now:
                 scope.cancel()
 
     async def try_connect(self, address: str, until: Seconds) -> None:
-        """Open a connection and close it: whether somebody listens there.
+        """Check that a server accepts connections: open one and close it.
 
         Raises
         ------
         AttemptFailed
-            Nobody does, or there is no answer by `until` (on this node's clock).
+            No connection was established by `until` (on this node's clock).
         """
         connection = await self._open(address, until)
         await connection.aclose()
 
     async def drop_idle(self, addresses: set[str]) -> None:
-        """Close idle connections that are old, and all to other addresses than these."""
+        """Close idle connections that have expired, and all to addresses not in `addresses`."""
         now = steady_clock()
         for address, idle in list(self._idle.items()):
             is_known = address in addresses
             dropped = [item for item in idle if not is_known or item.idle_until <= now]
-            # A request may be about to take one of these: it waits for another to be closed, and
-            # would go on with connections that a new list held as well.
+            # `_acquire` may be waiting for the close of another connection of this deque and then
+            # continues with it. A new deque would let two requests use one connection.
             for connection in dropped:
                 idle.remove(connection)
             if not idle and self._idle.get(address) is idle:
@@ -302,8 +305,11 @@
             for connection in dropped:
                 await connection.aclose()
 
-    async def _drop_address(self, address: str) -> None:
-        """Close idle connections to an address: one went silent, and the others most likely did."""
+    async def _drop_idle_to(self, address: str) -> None:
+        """Close idle connections to an address after one of them stopped working.
+
+        The others most likely have stopped working too.
+        """
         idle = self._idle.pop(address, deque())
         dropped = list(idle)
         idle.clear()
@@ -314,16 +320,16 @@
         """Close all idle connections."""
         await self.drop_idle(set())
 
-    async def _take(self, request: HttpRequest, until: Seconds) -> _Connection:
+    async def _acquire(self, request: HttpRequest, until: Seconds) -> _Connection:
         idle = self._idle.get(request.address)
         while idle:
             connection = idle.pop()
-            if connection.idle_until > steady_clock() and connection.is_quiet():
+            if connection.idle_until > steady_clock() and connection.has_no_input():
                 return connection
             await connection.aclose()
         connection = await self._open(request.address, until)
         if request.watched:
-            await _watch_for_reset(connection)
+            await _wait_for_early_reset(connection)
         return connection
 
     async def _open(self, address: str, until: Seconds) -> _Connection:
@@ -341,13 +347,13 @@
             for option in self._socket_options:
                 stream.extra(SocketAttribute.raw_socket).setsockopt(*option)
             return _Connection(stream)
-        except NO_SOCKET as error:
+        except MISSING_SOCKET_ERRORS as error:
             await anyio.aclose_forcefully(stream)
-            raise AttemptFailed(FailurePhase.TURNED_AWAY, "reset at once") from error
+            raise AttemptFailed(FailurePhase.TURNED_AWAY, "connection reset while it was set up") from error
 
 
-def _problem(error: Exception) -> str:
-    """Name an error of a connection; the system's own bound on silence by what it means."""
+def _describe_error(error: Exception) -> str:
+    """Return the type of a connection's error, or `UNACKNOWLEDGED` for `TCP_USER_TIMEOUT`."""
     cause: BaseException | None = error
     while cause is not None and not isinstance(cause, OSError):
         cause = cause.__cause__
@@ -355,23 +361,23 @@
 
 
 def _is_refused(error: BaseException | None) -> bool:
-    """Whether the other machine said that nobody listens; the library wraps what it was told."""
+    """Whether the other machine refused the connection; anyio wraps the system's error."""
     while error is not None and not isinstance(error, ConnectionRefusedError):
         error = error.__cause__
     return error is not None
 
 
-async def _watch_for_reset(connection: _Connection) -> None:
-    await anyio.sleep(RESET_WATCH)
-    if not connection.is_quiet():
+async def _wait_for_early_reset(connection: _Connection) -> None:
+    await anyio.sleep(EARLY_RESET_WINDOW)
+    if not connection.has_no_input():
         await connection.aclose()
-        raise AttemptFailed(FailurePhase.TURNED_AWAY, "reset before anything was sent")
+        raise AttemptFailed(FailurePhase.TURNED_AWAY, "connection reset before the request was sent")
 
 
 def _idle_time(headers: Headers) -> Seconds:
-    told = dict(headers).get(b"keep-alive", b"")
-    for part in told.split(b","):
+    keep_alive = dict(headers).get(b"keep-alive", b"")
+    for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
-            return max(float(value) - IDLE_MARGIN, 0.0)
-    return DEFAULT_IDLE
+            return max(float(value) - IDLE_TIMEOUT_MARGIN, 0.0)
+    return DEFAULT_IDLE_TIMEOUT
--- a/src/limedeck/http_codec.py
+++ b/src/limedeck/http_codec.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 as bytes: requests to servers, and their answers.
+"""Encodes HTTP/1.1 requests to servers and parses their responses.
 
-Answers are read by llhttp (`httptools`). What it leaves open is decided here, since each decides
-whether a request may run again: where an answer without a length ends, what comes after an answer,
-and how long a head may be.
+Responses are parsed by llhttp (`httptools`). This module decides what llhttp leaves open: where a
+response without a length ends, what bytes after a response mean, and how long a head may be. Each
+of these affects whether a request may run again.
 """
 
 from __future__ import annotations
@@ -15,81 +15,81 @@
 from limedeck.forwarding.protocol import Headers
 
 MAX_HEAD_SIZE = 65_536
-LARGEST_ANSWER = 64 << 20
-NO_CONTENT = frozenset({204, 304})
+MAX_BODY_SIZE = 64 << 20
+NO_CONTENT_STATUSES = frozenset({204, 304})
 FIRST_FINAL_STATUS = 200
-SWITCHING = 101
-FORBIDDEN = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
-TARGET = re.compile(rb"[\x21-\x7e\x80-\xff]+")
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-NAMES_KEPT = 4096
-"""Header names that are remembered as proper; callers may make up new ones."""
+SWITCHING_PROTOCOLS = 101
+FORBIDDEN_IN_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+TARGET_PATTERN = re.compile(rb"[\x21-\x7e\x80-\xff]+")
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+TOKEN_CACHE_SIZE = 4096
+"""Bounds the cache of checked methods and header names: callers may invent any number of names."""
 
 
 class BadRequest(Exception):
-    """A request that cannot be written as such."""
+    """A request that cannot be encoded as valid HTTP/1.1."""
 
 
 class BadResponse(Exception):
-    """Bytes that are no answer, or an answer that ended early."""
+    """An invalid, oversized, unsupported or incomplete response."""
 
 
-@functools.lru_cache(maxsize=NAMES_KEPT)
+@functools.lru_cache(maxsize=TOKEN_CACHE_SIZE)
 def _is_token(name: bytes) -> bool:
-    return TOKEN.fullmatch(name) is not None
+    return TOKEN_PATTERN.fullmatch(name) is not None
 
 
-def encoded_head(method: bytes, target: bytes, headers: Headers, body_length: int) -> bytes:
-    """Write a request's head.
+def encode_head(method: bytes, target: bytes, headers: Headers, body_length: int) -> bytes:
+    """Encode the head of a request.
 
     Raises
     ------
     BadRequest
-        A server would read another request from it, or another body.
+        The head is invalid: a server could read another request or another body from it.
     """
-    if not _is_token(method) or TARGET.fullmatch(target) is None:
-        raise BadRequest("method or target")
+    if not _is_token(method) or TARGET_PATTERN.fullmatch(target) is None:
+        raise BadRequest("invalid method or target")
     lines = [method, b" ", target, b" HTTP/1.1\r\n"]
     lengths = []
     for name, value in headers:
-        if not _is_token(name) or FORBIDDEN.search(value) is not None:
-            raise BadRequest("header")
+        if not _is_token(name) or FORBIDDEN_IN_VALUE.search(value) is not None:
+            raise BadRequest("invalid header name or value")
         if name == b"content-length":
             lengths.append(value)
         elif name == b"transfer-encoding":
-            raise BadRequest("transfer encoding")
+            raise BadRequest("transfer-encoding is not supported")
         lines += (name, b": ", value, b"\r\n")
     if lengths != [b"%d" % body_length] and (lengths or body_length):
-        raise BadRequest("length of the body")
+        raise BadRequest("content-length does not match the body")
     lines.append(b"\r\n")
     return b"".join(lines)
 
 
 class ResponseParser:
-    """Reads one answer; its methods named `on_...` are called by the parser.
+    """Parses one response; `httptools` calls its methods named `on_...`.
 
     Parameters
     ----------
-    is_head
-        The answer is one to HEAD, and has no body whatever its head says.
+    is_head_request
+        The request's method is HEAD: the response has no body, whatever its headers say.
 
     Attributes
     ----------
-    has_head, is_whole
-        How far the answer is here.
-    may_go_on
-        The server keeps the connection, and nothing came after the answer.
+    has_head, is_complete
+        Whether the final response's head, and all of the response, was received.
+    is_reusable
+        The server keeps the connection open, and no bytes followed the response.
     """
 
-    def __init__(self, is_head: bool = False) -> None:
+    def __init__(self, is_head_request: bool = False) -> None:
         self.has_head = False
-        self.is_whole = False
+        self.is_complete = False
         self.status = 0
         self.headers: Headers = []
-        self._is_head = is_head
+        self._is_head_request = is_head_request
         self._parser = httptools.HttpResponseParser(self)
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._body_parts: list[bytes] = []
+        self._body_size = 0
         self._head_size = 0
         self._is_interim = False
         self._keeps_alive = False
@@ -97,92 +97,93 @@
 
     @property
     def body(self) -> bytes:
-        """What has come of the body."""
-        return b"".join(self._parts)
+        """The part of the body received so far."""
+        return b"".join(self._body_parts)
 
     @property
-    def may_go_on(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request may be sent on the connection."""
-        return self.is_whole and self._keeps_alive and not self._has_surplus
+        return self.is_complete and self._keeps_alive and not self._has_surplus
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes.
+        """Parse received bytes.
 
         Raises
         ------
-        BadAnswer
-            They are no answer.
+        BadResponse
+            The response is invalid, too large, or switches to another protocol.
         """
         if not self.has_head:
             self._head_size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            # After a whole answer the bytes belong to none; the answer stands.
-            if not self.is_whole:
+            # Invalid bytes after a complete response do not invalidate it.
+            if not self.is_complete:
                 raise BadResponse(type(exc).__name__) from exc
             self._has_surplus = True
         if not self.has_head and self._head_size > MAX_HEAD_SIZE:
-            raise BadResponse("head too large")
-        if self._size > LARGEST_ANSWER:
-            raise BadResponse("answer too large")
+            raise BadResponse(f"response head larger than {MAX_HEAD_SIZE} bytes")
+        if self._body_size > MAX_BODY_SIZE:
+            raise BadResponse(f"response body larger than {MAX_BODY_SIZE} bytes")
 
     def feed_end(self) -> None:
-        """The connection has ended in order: so does an answer without a length.
+        """Handle the orderly end of the connection, which ends a response without a length.
 
         Raises
         ------
-        BadAnswer
-            The answer is not whole.
+        BadResponse
+            The response is incomplete.
         """
-        if self.has_head and not self.is_whole and self._ends_with_connection():
-            self.is_whole = True
-        if not self.is_whole:
+        if self.has_head and not self.is_complete and self._ends_with_connection():
+            self.is_complete = True
+        if not self.is_complete:
             raise BadResponse("connection ended")
 
     def _ends_with_connection(self) -> bool:
         names = {name for name, _ in self.headers}
         return b"content-length" not in names and b"transfer-encoding" not in names
 
-    # ------------------------------------------------------------------ called by the parser
+    # ------------------------------------------------------------------ callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Another answer begins, or the first one."""
-        if self.is_whole:
+        """Handle the start of the first or of a further response."""
+        if self.is_complete:
             self._has_surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header; those after the body are left out."""
+        """Store a header; trailers, which follow the body, are ignored."""
         if not self.has_head:
             self.headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """The head has ended."""
-        if self.is_whole:
+        """Handle the end of a head."""
+        if self.is_complete:
             return
         self.status = self._parser.get_status_code()
-        if self.status == SWITCHING:
-            raise BadResponse("another protocol")
+        if self.status == SWITCHING_PROTOCOLS:
+            raise BadResponse("switch to another protocol is not supported")
         self._is_interim = self.status < FIRST_FINAL_STATUS
         if self._is_interim:
             self.headers = []
             return
         self.has_head = True
-        self.is_whole = self._is_head
+        self.is_complete = self._is_head_request
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
-        if self.is_whole:
+        """Store a part of the body."""
+        if self.is_complete:
             self._has_surplus = True
             return
-        self._parts.append(data)
-        self._size += len(data)
+        self._body_parts.append(data)
+        self._body_size += len(data)
 
     def on_message_complete(self) -> None:
-        """The answer has ended, unless it was an interim one."""
+        """Handle the end of a response; an interim response is followed by another one."""
         if self._is_interim:
             self._is_interim = False
             return
-        # One to HEAD was whole before; what follows its head cannot be told from surplus bytes.
-        self._keeps_alive = not self.is_whole and self._parser.should_keep_alive()
-        self.is_whole = True
+        # A response to HEAD was complete with its head; a body that follows cannot be told from
+        # surplus bytes, so its connection is not reused.
+        self._keeps_alive = not self.is_complete and self._parser.should_keep_alive()
+        self.is_complete = True
--- a/src/limedeck/identity.py
+++ b/src/limedeck/identity.py
@@ -15,49 +15,51 @@
 """One run of a process: larger for every later run of the same node or back end."""
 
 Seconds = float
-"""A reading of, or a span on, one machine's own steady clock."""
+"""A time or a duration in seconds, on one machine's own steady clock."""
 
 NEVER: Seconds = float("-inf")
-"""When something happened that has not happened."""
+"""Time of an event that has not happened yet: earlier than any other time."""
 
 INCARNATION_SEPARATOR = "@"
-"""Between the name of a back end and the start of one of its lives, in an id."""
+"""Separates the name of a back end from the start of its incarnation in an id."""
 
 
-def incarnation_id(name: str, born: int | None) -> str:
-    """Return the id of one life of a back end; without a start, a name stands for one life."""
-    return name if born is None else f"{name}{INCARNATION_SEPARATOR}{born}"
+def incarnation_id(name: str, start: int | None) -> str:
+    """Return the id of an incarnation of a back end; its name if the start is unknown."""
+    return name if start is None else f"{name}{INCARNATION_SEPARATOR}{start}"
 
 
 def is_later_incarnation(backend_id: str, than: str) -> bool:
-    """Whether both ids are lives of one back end, and the first one began later.
+    """Whether both ids are incarnations of one back end, and the first one started later.
 
-    A life that tells no start is taken for an earlier one than those that do.
+    An incarnation without a known start counts as earlier than those with one.
     """
-    name, born = split_incarnation_id(backend_id)
-    other_name, other_born = split_incarnation_id(than)
-    return name == other_name and born > other_born
+    name, start = split_incarnation_id(backend_id)
+    other_name, other_start = split_incarnation_id(than)
+    return name == other_name and start > other_start
 
 
 def split_incarnation_id(backend_id: str) -> tuple[str, float]:
-    """Return which back end it is, and when this life of it began; `NEVER` if that is not told."""
-    name, mark, start = backend_id.rpartition(INCARNATION_SEPARATOR)
+    """Return the back end's name and the incarnation's start; `NEVER` if the id holds none."""
+    name, separator, start = backend_id.rpartition(INCARNATION_SEPARATOR)
     try:
-        return (name, int(start)) if mark else (backend_id, NEVER)
+        return (name, int(start)) if separator else (backend_id, NEVER)
     except ValueError:
         return backend_id, NEVER
 
 
 @dataclass(frozen=True, order=True)
 class Fence:
-    """Orders the grants of a control group: a back end refuses what is not above its highest.
+    """Fencing token of a control group's grants.
+
+    Tokens are ordered: a back end refuses a grant whose token is not above its highest one.
 
     Parameters
     ----------
     term
         Term of the leader that wrote the grant.
     sequence
-        Counts that leader's exchanges.
+        Number of the leader's exchange within the term.
     """
 
     term: int
@@ -68,7 +70,7 @@
 class Voter:
     """A voter of a control group: one run of one node.
 
-    Two are the same voter if they are the same run of the same node, wherever that is reached.
+    Voters are equal if they are the same run of the same node, whatever its addresses and zone.
     """
 
     node_id: NodeId
@@ -87,7 +89,7 @@
 
     @classmethod
     def from_message(cls, message: NodeIdentity) -> Voter:
-        """Read the voter from its message form."""
+        """Convert from a protobuf message."""
         return cls(
             NodeId(message.node_id),
             Incarnation(message.incarnation),
@@ -97,7 +99,7 @@
         )
 
     def to_message(self) -> NodeIdentity:
-        """Write the voter in its message form."""
+        """Convert to a protobuf message."""
         return NodeIdentity(
             node_id=self.node_id,
             incarnation=self.incarnation,
@@ -108,5 +110,5 @@
 
 
 def keyed_group(service: str, index: int, count: int) -> GroupId:
-    """Name one of the control groups that share a keyed service's keys."""
+    """Return the id of one of the `count` control groups that share a keyed service's keys."""
     return GroupId(service if count <= 1 else f"{service}/{index}")
--- a/src/limedeck/model.py
+++ b/src/limedeck/model.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the back ends, as every part of a node reads them."""
+"""The operators' configuration and the back ends, as types shared by all parts of a node."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what may be done with them.
+    """Where requests for one host and path prefix are sent, and how they are handled.
 
     Parameters
     ----------
     path_prefix
         Begins and ends with a slash.
     repeatable
-        A request may run more than once.
+        Whether a request may run more than once.
     timeout
-        Longest time a request is held, in seconds.
+        Longest time from a request to its response, in seconds.
     objective
-        Time within which an answer has its full worth, in seconds.
+        Target response time, in seconds: a later response is worth less.
     max_attempts
         Largest number of back ends one request is sent to.
     priority
-        Rank; 0 is the most urgent.
+        Priority of the requests; 0 is the highest.
     """
 
     name: str
@@ -54,19 +54,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A set of back ends that run the same requests.
+    """A set of back ends that serve the same requests.
 
     Parameters
     ----------
     max_connections
         Connections that one back end accepts from all nodes together.
     keyed
-        Each key has one owner among the back ends.
+        Whether each key has one owner among the back ends.
     warm_time
-        How long keys are slow at a new owner that did not get the former owner's handover.
+        How long requests for a key are slow at a new owner that did not receive the former owner's
+        handover, in seconds.
     cold_rate
-        Requests a second that a back end bears from all nodes together while it is cold; zero if it
-        is only slow then.
+        Requests per second that a cold back end can take from all nodes together; zero if a cold
+        back end is slow but takes any rate.
     """
 
     name: str
@@ -78,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
     Parameters
     ----------
     header_bytes, body_bytes
         Largest head and body of a request.
     header_timeout, idle_timeout
-        In seconds.
+        Longest time to receive a head, and longest time a connection may be idle, in seconds.
     """
 
     header_bytes: int = 16_384
@@ -96,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that operators have set, at one version."""
+    """One version of the complete configuration set by operators."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -106,21 +107,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One life of one back end's process.
+    """One incarnation of a back end: one run of its process.
 
     Parameters
     ----------
     backend_id
-        Unique to this life.
+        Unique to this incarnation.
     instance
-        The name by which requests and orders say whom they mean; a later life may have it again.
-        Empty: the id.
+        Name by which requests and orders address the back end; a later incarnation may have the
+        same name. If empty, `backend_id` is used.
     slots
-        Requests it works on at once.
+        Number of requests that it processes concurrently.
     draining
-        It takes no new work.
+        Whether it accepts no new requests.
     warmup
-        How long it stays slow from its start, in seconds.
+        How long it is slow after its start, in seconds.
     """
 
     backend_id: str
@@ -134,5 +135,5 @@
 
     @property
     def name(self) -> str:
-        """The name by which it is addressed."""
+        """Name by which requests and orders address it."""
         return self.instance or self.backend_id
--- a/tests/unit/test_http_client.py
+++ b/tests/unit/test_http_client.py
@@ -234,7 +234,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Found on zhbs-gate-large: 1,552 filings ended with 502, which callers cannot repeat."""
-    monkeypatch.setattr(http_client, "RESET_WATCH", 0.5)
+    monkeypatch.setattr(http_client, "EARLY_RESET_WINDOW", 0.5)
 
     async def reset(stream: SocketStream) -> None:
         raw = stream.extra(SocketAttribute.raw_socket)
@@ -262,7 +262,7 @@
         self.is_closed = False
         self._is_sound = is_sound
 
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         return self._is_sound
 
     async def aclose(self) -> None:
@@ -291,14 +291,14 @@
     async def take() -> None:
         # Nobody listens at the address: there may be no connection at all.
         with contextlib.suppress(AttemptFailed):
-            taken.append(await client._take(request, steady_clock() + PATIENCE))
+            taken.append(await client._acquire(request, steady_clock() + PATIENCE))
         done.set()
 
     async def keep_up() -> None:
         if upkeep == "drop_idle":
             await client.drop_idle({address})
         else:
-            await client._drop_address(address)
+            await client._drop_idle_to(address)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(take)
@@ -349,7 +349,7 @@
     assert ends == [anyio.BrokenResourceError]
 
 
-@pytest.mark.parametrize("error", http_client.NO_SOCKET)
+@pytest.mark.parametrize("error", http_client.MISSING_SOCKET_ERRORS)
 async def test_a_connection_that_the_other_end_has_reset_can_be_reset(
     error: type[Exception], monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/unit/test_http_codec.py
+++ b/tests/unit/test_http_codec.py
@@ -18,13 +18,13 @@
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 
 
-def read(*pieces: bytes, is_head: bool = False, ended: bool = False) -> http_codec.ResponseParser:
-    reader = http_codec.ResponseParser(is_head)
+def read(*pieces: bytes, is_head_request: bool = False, ended: bool = False) -> http_codec.ResponseParser:
+    parser = http_codec.ResponseParser(is_head_request)
     for piece in pieces:
-        reader.feed(piece)
+        parser.feed(piece)
     if ended:
-        reader.feed_end()
-    return reader
+        parser.feed_end()
+    return parser
 
 
 @given(st.sampled_from([OK, CHUNKED, INTERIM + OK, INTERIM + CHUNKED]), st.data())
@@ -34,13 +34,13 @@
 ) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(1, len(answer) - 1), max_size=6)))
     edges = [0, *cuts, len(answer)]
-    reader = http_codec.ResponseParser()
+    parser = http_codec.ResponseParser()
     for start, end in itertools.pairwise(edges):
-        assert not reader.is_whole
-        reader.feed(answer[start:end])
-    assert reader.is_whole and reader.may_go_on
-    assert (reader.status, reader.body) == (200, b"ok")
-    assert all(name not in (b"link", b"x-late") for name, _ in reader.headers)
+        assert not parser.is_complete
+        parser.feed(answer[start:end])
+    assert parser.is_complete and parser.is_reusable
+    assert (parser.status, parser.body) == (200, b"ok")
+    assert all(name not in (b"link", b"x-late") for name, _ in parser.headers)
 
 
 def test_headers_have_lower_names_and_no_blanks_around_values() -> None:
@@ -52,9 +52,9 @@
 def test_bytes_after_an_answer_end_its_connection_and_not_the_answer(
     surplus: bytes, at_once: bool
 ) -> None:
-    reader = read(OK + surplus) if at_once else read(OK, surplus)
-    assert reader.is_whole and not reader.may_go_on
-    assert (reader.status, reader.body) == (200, b"ok")
+    parser = read(OK + surplus) if at_once else read(OK, surplus)
+    assert parser.is_complete and not parser.is_reusable
+    assert (parser.status, parser.body) == (200, b"ok")
 
 
 @pytest.mark.parametrize(
@@ -65,26 +65,26 @@
     ],
 )
 def test_a_server_that_closes_is_not_asked_again(answer: bytes) -> None:
-    assert read(answer).is_whole
-    assert not read(answer).may_go_on
+    assert read(answer).is_complete
+    assert not read(answer).is_reusable
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
     unframed = b"HTTP/1.1 200 OK\r\n\r\no"
-    assert not read(unframed, b"k").is_whole
-    reader = read(unframed, b"k", ended=True)
-    assert reader.body == b"ok" and not reader.may_go_on
+    assert not read(unframed, b"k").is_complete
+    parser = read(unframed, b"k", ended=True)
+    assert parser.body == b"ok" and not parser.is_reusable
 
 
 def test_an_answer_to_head_has_no_body() -> None:
-    reader = read(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", is_head=True)
-    assert reader.is_whole and reader.body == b""
-    assert not reader.may_go_on
+    parser = read(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", is_head_request=True)
+    assert parser.is_complete and parser.body == b""
+    assert not parser.is_reusable
 
 
 @pytest.mark.parametrize("status", [b"204 No Content", b"304 Not Modified"])
 def test_an_answer_without_content_is_whole_with_its_head(status: bytes) -> None:
-    assert read(b"HTTP/1.1 " + status + b"\r\n\r\n").is_whole
+    assert read(b"HTTP/1.1 " + status + b"\r\n\r\n").is_complete
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 
 def test_a_head_as_a_server_gets_it() -> None:
     headers = [(b"host", b"h"), (b"content-length", b"2")]
-    assert http_codec.encoded_head(b"POST", b"/a?b", headers, 2) == (
+    assert http_codec.encode_head(b"POST", b"/a?b", headers, 2) == (
         b"POST /a?b HTTP/1.1\r\nhost: h\r\ncontent-length: 2\r\n\r\n"
     )
 
@@ -148,4 +148,4 @@
     method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], length: int
 ) -> None:
     with pytest.raises(http_codec.BadRequest):
-        http_codec.encoded_head(method, target, headers, length)
+        http_codec.encode_head(method, target, headers, length)
