--- a/src/limedeck/clock.py
+++ b/src/limedeck/clock.py
@@ -1,4 +1,4 @@
-"""The only clock that decides anything: steady, never set, not stopped by a suspended machine."""
+"""The clock of all decisions: monotonic, never set, and not stopped while a machine is suspended."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 
 def steady_clock() -> Seconds:
-    """Seconds since the machine started, time spent suspended included.
+    """Return the seconds since the machine started, including time spent suspended.
 
-    Other machines go on meanwhile: leases run out, deadlines pass, and another leader is elected.
-    By a clock that stands still then, a leader that wakes up would take all of it for valid. No
-    jump of the time of day shows in it.
+    While a machine is suspended, leases expire, deadlines pass, and another leader is elected
+    elsewhere. With a clock that stops meanwhile, a resumed leader would take its leases and its
+    leadership for valid. Changes of the time of day don't affect this clock.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def time_suspended() -> Seconds:
-    """Seconds that the machine was suspended since it started: timers have not counted them."""
+    """Return for how many seconds the machine was suspended since its start.
+
+    Timers do not count this time.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.monotonic()
--- a/src/limedeck/errors.py
+++ b/src/limedeck/errors.py
@@ -1,4 +1,4 @@
-"""The exception hierarchy: every failure of limedeck has a type below `LimedeckError`."""
+"""The exception hierarchy of limedeck, with `LimedeckError` as its base class."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class LimedeckError(Exception):
-    """Base of every error that limedeck raises on purpose."""
+    """Base class of the errors that limedeck raises."""
 
 
 @dataclass
 class InvariantViolation(LimedeckError):
-    """A state machine found its own state to be impossible.
+    """A state machine detected that its state violates an invariant.
 
     Parameters
     ----------
@@ -34,12 +34,12 @@
 
 
 class SettingsError(LimedeckError):
-    """A settings file cannot be used."""
+    """A settings file is invalid."""
 
 
 @dataclass
 class InvalidSetting(SettingsError):
-    """One key of a settings file is wrong."""
+    """A key of a settings file is invalid."""
 
     file: str
     key: str
@@ -56,7 +56,7 @@
 
 @dataclass
 class PlatformUnavailable(PlatformError):
-    """The platform did not answer; a write may or may not have taken effect."""
+    """The platform did not respond; a write may or may not have taken effect."""
 
     service: str
     reason: str
@@ -67,7 +67,7 @@
 
 @dataclass
 class PlatformRateLimited(PlatformError):
-    """The platform refused the call because of its rate limit; nothing was done."""
+    """The platform refused the call because of its rate limit; nothing was changed."""
 
     service: str
     retry_after: float
@@ -78,13 +78,13 @@
 
 @dataclass
 class PlatformProtocolError(PlatformError):
-    """The platform's answer could not be understood."""
+    """A response of the platform, or a row of its store, is invalid."""
 
     service: str
     reason: str
 
     def __str__(self) -> str:
-        return f"{self.service} answered outside its protocol: {self.reason}"
+        return f"invalid data from {self.service}: {self.reason}"
 
 
 @dataclass
@@ -115,7 +115,7 @@
 
 @dataclass
 class InvalidObject(ConfigError):
-    """A field of an operators' object is wrong."""
+    """A field of a configuration object is invalid."""
 
     field: str
     problem: str
@@ -137,7 +137,7 @@
 
 @dataclass
 class RevisionConflict(ConfigError):
-    """The object has changed since the revision that the change was made from."""
+    """The object has changed since the revision that the change is based on."""
 
     name: str
     base_revision: int
@@ -146,13 +146,13 @@
     def __str__(self) -> str:
         return (
             f"{self.name} is at revision {self.current_revision}, "
-            f"the change was made from {self.base_revision}"
+            f"the change is based on revision {self.base_revision}"
         )
 
 
 @dataclass
 class ChangeNotAccepted(ConfigError):
-    """The change was not accepted, because the store cannot be reached."""
+    """The change was not accepted: the store could not process it now; nothing was changed."""
 
     reason: str
     retry_after: float
@@ -163,7 +163,7 @@
 
 @dataclass
 class ChangeOutcomeUnknown(ConfigError):
-    """The store took the change but did not answer, and could not be asked again."""
+    """The change was sent to the store, but whether it took effect could not be determined."""
 
     request_id: str
 
@@ -187,7 +187,7 @@
 
 @dataclass
 class MissingKey(RoutingError):
-    """The request holds no key where the service's sharing rule looks for it."""
+    """The request lacks the key by which the service's requests are routed."""
 
     service: str
     key_source: str
@@ -201,4 +201,4 @@
 
 
 class PeerProtocolError(LimedeckError):
-    """Bytes from another node do not form a message."""
+    """Another node sent an invalid frame or message."""
--- a/src/limedeck/http_client.py
+++ b/src/limedeck/http_client.py
@@ -349,7 +349,7 @@
             return _Connection(stream)
         except MISSING_SOCKET_ERRORS as error:
             await anyio.aclose_forcefully(stream)
-            raise AttemptFailed(FailurePhase.TURNED_AWAY, "connection reset while it was set up") from error
+            raise AttemptFailed(FailurePhase.TURNED_AWAY, "reset right after opening") from error
 
 
 def _describe_error(error: Exception) -> str:
@@ -371,7 +371,7 @@
     await anyio.sleep(EARLY_RESET_WINDOW)
     if not connection.has_no_input():
         await connection.aclose()
-        raise AttemptFailed(FailurePhase.TURNED_AWAY, "connection reset before the request was sent")
+        raise AttemptFailed(FailurePhase.TURNED_AWAY, "reset before the request was sent")
 
 
 def _idle_time(headers: Headers) -> Seconds:
--- a/src/limedeck/measures.py
+++ b/src/limedeck/measures.py
@@ -1,11 +1,11 @@
-"""The three measures, from the same records wherever they are taken.
+"""Three measures of assignments, computed from the same records wherever they are used.
 
 Imbalance
-    Highest load of a back end over the mean of all, and likewise for shares of the key line.
+    Highest load of a back end divided by the mean of all; likewise for shares of the key space.
 Churn
-    Share of the key line that changed owner.
+    Share of the key space that changed owner.
 Unavailable time
-    For each range of the key line, time during which no owner was able to serve it.
+    For each range of the key space, the time during which no owner was able to serve it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def max_over_mean(values: Iterable[float]) -> float:
-    """Highest of the values over their mean; 1.0 when there is nothing to compare."""
+    """Return the highest value divided by the mean; 1.0 without values or with a sum of zero."""
     listed = list(values)
     total = sum(listed)
     if not listed or total <= 0:
@@ -32,7 +32,7 @@
 
 
 def keyspace_shares(slices: SliceMap, backends: Iterable[str]) -> dict[str, float]:
-    """Share of the key line that each back end owns."""
+    """Return the share of the key space that each back end owns."""
     shares = dict.fromkeys(backends, 0.0)
     for item in slices:
         if item.owner != NO_OWNER:
@@ -41,55 +41,55 @@
 
 
 def churn(before: SliceMap, after: SliceMap) -> float:
-    """Share of the key line whose owner differs; the first assignment does not count."""
+    """Return the share of the key space whose owner differs; zero if either assignment is empty."""
     if len(before) == 0 or len(after) == 0:
         return 0.0
     moved = 0
     old_slices = iter(before)
     old = next(old_slices)
     for new in after:
-        reached = new.start
-        while reached < new.end:
-            if old.end <= reached:
+        position = new.start
+        while position < new.end:
+            if old.end <= position:
                 old = next(old_slices)
-            step = min(old.end, new.end)
+            piece_end = min(old.end, new.end)
             if old.owner != new.owner:
-                moved += step - reached
-            reached = step
+                moved += piece_end - position
+            position = piece_end
     return moved / KEY_LINE_END
 
 
 def uncovered(ranges: Iterable[KeyRange]) -> list[KeyRange]:
-    """Parts of the key line that no range covers."""
+    """Return the parts of the key space that no range covers."""
     gaps = []
-    reached = 0
+    covered_until = 0
     for start, end in sorted(ranges):
-        if start > reached:
-            gaps.append((reached, start))
-        reached = max(reached, end)
-    if reached < KEY_LINE_END:
-        gaps.append((reached, KEY_LINE_END))
+        if start > covered_until:
+            gaps.append((covered_until, start))
+        covered_until = max(covered_until, end)
+    if covered_until < KEY_LINE_END:
+        gaps.append((covered_until, KEY_LINE_END))
     return gaps
 
 
 def overlap(ranges: Iterable[KeyRange]) -> KeyRange | None:
-    """Some part of the key line that two ranges cover, or None."""
-    reached = 0
+    """Return a part of the key space that two ranges cover, or None."""
+    covered_until = 0
     for start, end in sorted(ranges):
-        if start < reached:
-            return start, min(end, reached)
-        reached = max(reached, end)
+        if start < covered_until:
+            return start, min(end, covered_until)
+        covered_until = max(covered_until, end)
     return None
 
 
 @dataclass(frozen=True)
 class UnservedInterval:
-    """A range of the line that had no owner able to serve it.
+    """Time during which a range of the key space had no owner able to serve it.
 
     Parameters
     ----------
     until
-        When it was served again; not earlier than `since`.
+        When the range was served again; not earlier than `since`.
     """
 
     part: KeyRange
@@ -98,20 +98,20 @@
 
     @property
     def length(self) -> Seconds:
-        """How long, in seconds."""
+        """Length of the interval, in seconds."""
         return self.until - self.since
 
 
 @dataclass
 class UnavailableTime:
-    """Unserved intervals of one key line.
+    """Unserved intervals of one key space.
 
     Parameters
     ----------
     open_since
-        Ranges unserved now, in the order of the line, and since when.
+        Ranges unserved now, in ascending order, and since when.
     total
-        Sum of all ended intervals, each weighted by its share of the line, in seconds.
+        Sum of all ended intervals, each weighted by its share of the key space, in seconds.
     worst
         Longest ended interval, in seconds.
     """
@@ -119,16 +119,16 @@
     open_since: dict[KeyRange, Seconds] = field(default_factory=dict)
     total: Seconds = 0.0
     worst: Seconds = 0.0
-    _starts: list[int] = field(default_factory=list)
-    _times: list[Seconds] = field(default_factory=list)
+    _open_starts: list[int] = field(default_factory=list)
+    _open_times: list[Seconds] = field(default_factory=list)
 
     def observe(self, gaps: Sequence[KeyRange], now: Seconds) -> list[UnservedInterval]:
-        """Take in which ranges are unserved from now on; return the intervals that ended.
+        """Record which ranges are unserved from now on; return the intervals that ended.
 
         Parameters
         ----------
         gaps
-            Disjoint ranges in the order of the line, as `uncovered` returns them.
+            Disjoint ranges in ascending order, as `uncovered` returns them.
         """
         was_open = list(self.open_since)
         finished = []
@@ -140,16 +140,16 @@
         still_open = {part: self._since(part) for part in intersect(was_open, gaps)}
         newly_open = dict.fromkeys(subtract(gaps, was_open), now)
         self.open_since = dict(sorted({**still_open, **newly_open}.items()))
-        self._starts = [start for start, _ in self.open_since]
-        self._times = list(self.open_since.values())
+        self._open_starts = [start for start, _ in self.open_since]
+        self._open_times = list(self.open_since.values())
         return [interval for interval in finished if interval.length > 0]
 
     def _since(self, part: KeyRange) -> Seconds:
-        return self._times[bisect_right(self._starts, part[0]) - 1]
+        return self._open_times[bisect_right(self._open_starts, part[0]) - 1]
 
 
 def intersect(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
-    """Parts that lie in both of two sequences of disjoint ranges in order."""
+    """Return the intersection of two sequences of disjoint ranges in ascending order."""
     found = []
     left_index = right_index = 0
     while left_index < len(left) and right_index < len(right):
@@ -165,24 +165,24 @@
 
 
 def subtract(left: Sequence[KeyRange], right: Sequence[KeyRange]) -> list[KeyRange]:
-    """Parts of the left that do not lie in the right, both disjoint ranges in order."""
+    """Return the parts of `left` outside `right`, both disjoint ranges in ascending order."""
     found = []
     right_index = 0
     for start, end in left:
-        reached = start
+        position = start
         while right_index < len(right) and right[right_index][1] <= start:
             right_index += 1
         index = right_index
         while index < len(right) and right[index][0] < end:
-            if reached < right[index][0]:
-                found.append((reached, right[index][0]))
-            reached = max(reached, right[index][1])
+            if position < right[index][0]:
+                found.append((position, right[index][0]))
+            position = max(position, right[index][1])
             index += 1
-        if reached < end:
-            found.append((reached, end))
+        if position < end:
+            found.append((position, end))
     return found
 
 
 def load_imbalance(loads: Mapping[str, float]) -> float:
-    """Imbalance of measured loads, by back end."""
+    """Return the imbalance of the back ends' measured loads."""
     return max_over_mean(loads.values())
--- a/src/limedeck/model.py
+++ b/src/limedeck/model.py
@@ -34,7 +34,7 @@
     timeout
         Longest time from a request to its response, in seconds.
     objective
-        Target response time, in seconds: a later response is worth less.
+        Response time up to which a response has its full value, in seconds.
     max_attempts
         Largest number of back ends one request is sent to.
     priority
--- a/src/limedeck/retry_after.py
+++ b/src/limedeck/retry_after.py
@@ -15,17 +15,17 @@
 DATE = b"date"
 BACKOFF_STATUSES = frozenset({429, 503})
 """Statuses with which Retry-After requests a back-off."""
-LONGEST_VALUE_BYTES = 64
-"""Rejects oversized values before they are parsed; valid numbers and dates are shorter."""
+MAX_VALUE_BYTES = 64
+"""Longer values are rejected before they are parsed; valid numbers and dates are shorter."""
 
 
 def requested_backoff(status: int, headers: Iterable[tuple[bytes, bytes]]) -> Seconds | None:
-    """Return the back-off that an answer requests, in seconds; None if it requests none.
+    """Return the back-off that a response requests, in seconds; None if it requests none.
 
     Parameters
     ----------
     headers
-        Headers of the answer, with names in lower case.
+        Headers of the response, with names in lower case.
 
     Raises
     ------
@@ -40,14 +40,14 @@
 
 
 def read(values: Iterable[bytes], date: bytes | None = None) -> Seconds:
-    """Return the delay in seconds, counted from the answer; the longest of the valid values.
+    """Return the delay in seconds from the response; the longest one of several valid values.
 
     Parameters
     ----------
     values
         All values of the header.
     date
-        Date header of the answer, the reference for HTTP dates; the local time if None.
+        Date header of the response, the reference for HTTP dates; the local time if None.
 
     Raises
     ------
@@ -67,8 +67,8 @@
 
 
 def _delay(value: bytes, date: bytes | None) -> Seconds:
-    if len(value) > LONGEST_VALUE_BYTES:
-        raise UnreadableRetryAfter(f"{len(value)} bytes")
+    if len(value) > MAX_VALUE_BYTES:
+        raise UnreadableRetryAfter(f"{len(value)} bytes, above {MAX_VALUE_BYTES}")
     if SECONDS_PATTERN.fullmatch(value):
         return float(value)
     delay = _parse_date(value) - (_parse_date(date) if date is not None else datetime.now(UTC))
--- a/src/limedeck/staggering.py
+++ b/src/limedeck/staggering.py
@@ -1,4 +1,4 @@
-"""Lets one node after the other do what one or a few of all nodes should do."""
+"""Staggers the start of an action that one or a few of all nodes should do."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 from limedeck import identity
 
 STAGGER_INTERVAL: identity.Seconds = 0.5
-"""Twice as many nodes have begun after each of these; above the time in which one shows success."""
+"""Interval in which the number of nodes that have begun doubles.
+
+Longer than the time in which the success of one node shows to the others."""
 
 
 def delay(place: float, node_count: int) -> identity.Seconds:
-    """Return how much later than the first a node begins.
+    """Return how much later than the first node a node begins.
 
     Parameters
     ----------
     place
-        Where the node stands among all, from 0 to 1.
+        Position of the node in the order of all nodes, from 0 to 1.
     """
     return STAGGER_INTERVAL * math.log2(1.0 + place * max(node_count - 1, 0))
--- a/src/limedeck/views.py
+++ b/src/limedeck/views.py
@@ -1,4 +1,4 @@
-"""What a node shows to operators, as JSON over HTTP: shared by the node and the client."""
+"""JSON messages that a node serves to operators over HTTP: shared by nodes and command line."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class LeaderView(msgspec.Struct, frozen=True):
-    """Who leads, as the node believes; spans in seconds.
+    """The leader as this node knows it; durations in seconds.
 
     Parameters
     ----------
     why
-        What was held against the leader before it.
+        Why the previous leader was replaced, or empty.
     known_for
-        Since when the node knows of it; the leader itself tells how long it has led.
+        How long the node has known of this leader; at the leader, how long it has led.
     heard_ago
-        When the node heard it last.
+        How long ago the node last heard from the leader; zero at the leader.
     suspicion
-        What the node holds against it now, or empty.
+        Why the node suspects the leader now, or empty.
     """
 
     term: int
@@ -35,7 +35,7 @@
 
 
 class BackendView(msgspec.Struct, frozen=True):
-    """A back end, as the node believes.
+    """A back end as this node knows it.
 
     Parameters
     ----------
@@ -43,9 +43,9 @@
         Why it receives fewer requests than other back ends, or none: ``draining``, ``evacuated``,
         ``cold``, ``leaving``, ``backing-off``, ``limited``, ``passed-over``; empty if none applies.
     bound
-        Requests a second that it takes from all nodes together, if that is little.
+        Rate bound: requests per second that it takes from all nodes together; None if unbounded.
     load
-        Requests that are expected to be there.
+        Estimated number of requests at the back end.
     """
 
     backend: str
@@ -58,7 +58,7 @@
 
 
 class ServiceView(msgspec.Struct, frozen=True):
-    """A service's keys; `version` of its owners is zero before any are known."""
+    """Ownership of a service's keys; `version` is zero until owners are known."""
 
     service: str
     keyed: bool
@@ -68,16 +68,16 @@
 
 
 class StatusView(msgspec.Struct, frozen=True):
-    """A node's view of the system.
+    """Status of a node, with its view of the system.
 
     Parameters
     ----------
     isolated
-        It has heard no sound leader for so long that what it knows of owners may be out of date.
+        It has not heard from a valid leader for so long that its owners may be out of date.
     leads
-        It is the leader itself.
+        Whether the node is the leader.
     nodes
-        How many nodes there are, as the leader tells; zero if that is not known.
+        Number of nodes according to the leader; zero if unknown.
     """
 
     node: str
@@ -94,7 +94,7 @@
 
 
 class RangeView(msgspec.Struct, frozen=True):
-    """Keys from `first` to `last`, both inside; `owner` is empty while they have none."""
+    """Keys from `first` to `last`, both inclusive; `owner` is empty while they have none."""
 
     first: int
     last: int
@@ -102,7 +102,7 @@
 
 
 class AssignmentView(msgspec.Struct, frozen=True):
-    """Owners of a service's keys, as the node routes by them."""
+    """Owners of a service's keys, as the node uses them for routing."""
 
     service: str
     version: int
@@ -110,7 +110,7 @@
 
 
 class LocationView(msgspec.Struct, frozen=True):
-    """Where a key's requests go; `owner` is None while the key has none, or one not listed."""
+    """Where a key's requests are sent; `owner` is None if there is none, or it is not listed."""
 
     service: str
     position: int
@@ -119,6 +119,6 @@
 
 
 class ProblemView(msgspec.Struct, frozen=True):
-    """Why a question was not answered."""
+    """Error response: why a request could not be served."""
 
     problem: str
--- a/tests/unit/test_http_codec.py
+++ b/tests/unit/test_http_codec.py
@@ -18,7 +18,9 @@
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 
 
-def read(*pieces: bytes, is_head_request: bool = False, ended: bool = False) -> http_codec.ResponseParser:
+def read(
+    *pieces: bytes, is_head_request: bool = False, ended: bool = False
+) -> http_codec.ResponseParser:
     parser = http_codec.ResponseParser(is_head_request)
     for piece in pieces:
         parser.feed(piece)
