--- a/src/limedeck/clock.py
+++ b/src/limedeck/clock.py
@@ -1,4 +1,4 @@
-"""The clock of all decisions: monotonic, never set, and not stopped while a machine is suspended."""
+"""The clock of all decisions: monotonic, never set, and running while a machine is suspended."""
 
 from __future__ import annotations
 
--- a/tests/unit/polling.py
+++ b/tests/unit/polling.py
@@ -1,4 +1,4 @@
-"""Waiting, in a test with real sockets, for what must come about."""
+"""Polls for a condition in tests with real sockets."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import anyio
 
-PAUSE = 0.01
-LOOKS = 2_000
+POLL_INTERVAL = 0.01  # seconds
+MAX_POLLS = 2_000
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until the condition holds; fail after some twenty seconds."""
-    for _ in range(LOOKS):
+    """Wait until the condition holds; fail after about 20 s."""
+    for _ in range(MAX_POLLS):
         if condition():
             return
-        await anyio.sleep(PAUSE)
-    raise AssertionError("it did not come about")
+        await anyio.sleep(POLL_INTERVAL)
+    raise AssertionError("the condition did not hold within about 20 s")
--- a/tests/unit/test_http_client.py
+++ b/tests/unit/test_http_client.py
@@ -1,4 +1,4 @@
-"""Answers of back ends, whole and broken, as bytes on real connections."""
+"""Complete and broken responses of back ends, as bytes on real connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from limedeck.routing.outcomes import AttemptFailed, FailurePhase
 
 pytestmark = pytest.mark.anyio
-PATIENCE = 5.0
+EXCHANGE_TIMEOUT = 5.0
 
 
 @pytest.fixture
@@ -30,21 +30,21 @@
 
 @dataclass
 class Script:
-    """What a back end sends for each request on a connection.
+    """The responses of a back end, and how it ends its connections.
 
     Parameters
     ----------
-    answers
-        Bytes for each request in turn, over all connections.
-    reset
-        End each connection with a reset after the first answer; else with a close if `close`.
+    responses
+        Bytes sent for each request in turn, over all connections.
+    reset, close
+        Reset, or else close, each connection after its first response.
     late
-        Bytes that follow the first answer a moment later.
+        Bytes sent 50 ms after the first response.
     once
-        Only the first bytes of each connection are answered.
+        Respond only to the first bytes received on each connection.
     """
 
-    answers: Sequence[bytes]
+    responses: Sequence[bytes]
     reset: bool = False
     close: bool = False
     late: bytes = b""
@@ -59,9 +59,9 @@
                 while True:
                     self.requests.append(await stream.receive())
                     if self.once:
-                        await stream.send(self.answers[self.connections - 1])
+                        await stream.send(self.responses[self.connections - 1])
                         await anyio.sleep_forever()
-                    await stream.send(self.answers[len(self.requests) - 1])
+                    await stream.send(self.responses[len(self.requests) - 1])
                     if self.late and len(self.requests) == 1:
                         await anyio.sleep(0.05)
                         await stream.send(self.late)
@@ -104,10 +104,10 @@
     ],
     ids=["length", "chunked", "unframed", "informational"],
 )
-async def test_a_whole_answer(script: Script, body: bytes) -> None:
+async def test_a_complete_response(script: Script, body: bytes) -> None:
     async with backend(script) as request:
-        answer = await HttpClient().exchange(request, steady_clock() + PATIENCE)
-        assert (answer.status, answer.body) == (200, body)
+        response = await HttpClient().exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
+        assert (response.status, response.body) == (200, body)
 
 
 @pytest.mark.parametrize(
@@ -129,19 +129,19 @@
     ],
     ids=["nothing", "garbage", "half-head", "short", "no-last-chunk", "bad-chunk", "reset"],
 )
-async def test_a_broken_answer_is_never_whole(script: Script, phase: FailurePhase) -> None:
+async def test_a_broken_response_is_never_complete(script: Script, phase: FailurePhase) -> None:
     async with backend(script) as request:
         with pytest.raises(AttemptFailed) as caught:
-            await HttpClient().exchange(request, steady_clock() + PATIENCE)
+            await HttpClient().exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         assert caught.value.phase is phase
 
 
-async def test_a_connection_is_used_again() -> None:
+async def test_a_connection_is_reused() -> None:
     script = Script([OK, OK])
     async with backend(script) as request:
         client = HttpClient()
         for _ in range(2):
-            await client.exchange(request, steady_clock() + PATIENCE)
+            await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         assert script.connections == 1
 
 
@@ -156,25 +156,25 @@
     ],
     ids=["surplus", "late-surplus", "close", "short-keep-alive", "closed"],
 )
-async def test_a_doubtful_connection_is_not_used_again(script: Script) -> None:
+async def test_an_unusable_connection_is_not_reused(script: Script) -> None:
     async with backend(script) as request:
         client = HttpClient()
-        await client.exchange(request, steady_clock() + PATIENCE)
+        await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         await anyio.sleep(0.2)
-        answer = await client.exchange(request, steady_clock() + PATIENCE)
-        assert answer.body == b"ok"
+        response = await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
+        assert response.body == b"ok"
         assert script.connections == 2
 
 
-async def test_a_dead_port_is_not_connected() -> None:
+async def test_a_closed_port_fails_as_not_connected() -> None:
     async with backend(Script([])) as request:
         pass
     with pytest.raises(AttemptFailed) as caught:
-        await HttpClient().exchange(request, steady_clock() + PATIENCE)
+        await HttpClient().exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
     assert caught.value.phase is FailurePhase.NOT_CONNECTED
 
 
-async def test_an_answer_may_come_before_a_long_body_is_read() -> None:
+async def test_a_response_may_arrive_before_a_long_body_is_read() -> None:
     early = b"HTTP/1.1 413 Too Large\r\ncontent-length: 0\r\n\r\n"
     script = Script([early, OK], once=True)
     async with backend(script) as request:
@@ -182,58 +182,66 @@
         body = b"x" * (8 << 20)
         headers = [(b"host", b"h"), (b"content-length", b"%d" % len(body))]
         long = HttpRequest(request.address, b"POST", b"/x", headers, body)
-        answer = await client.exchange(long, steady_clock() + PATIENCE)
-        assert answer.status == 413
-        await client.exchange(request, steady_clock() + PATIENCE)
+        response = await client.exchange(long, steady_clock() + EXCHANGE_TIMEOUT)
+        assert response.status == 413
+        await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         assert script.connections == 2
 
 
-async def test_a_header_that_cannot_be_sent_is_not_sent() -> None:
+async def test_an_invalid_header_is_not_sent() -> None:
     script = Script([OK])
     async with backend(script) as request:
         bad = HttpRequest(request.address, b"GET", b"/x", [(b"host", b"h\r\nx: y")])
         with pytest.raises(AttemptFailed) as caught:
-            await HttpClient().exchange(bad, steady_clock() + PATIENCE)
+            await HttpClient().exchange(bad, steady_clock() + EXCHANGE_TIMEOUT)
         assert caught.value.phase is FailurePhase.NOT_SENT
         assert script.requests == []
 
 
-async def test_a_connection_that_is_reset_at_once_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found on vetagenda-ne scale-2: the stream had no socket any more, and the caller got 500."""
+async def test_a_connection_reset_right_after_opening_fails_the_attempt(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A connection that is reset right after opening is a failed attempt, not an internal error.
+
+    Found on vetagenda-ne scale-2: the stream no longer had a socket, and the caller got 500.
+    """
     opened: list[SocketStream] = []
     connect = anyio.connect_tcp
 
-    async def connect_and_lose(host: str, port: int, local_host: str | None) -> SocketStream:
+    async def connect_and_close(host: str, port: int, local_host: str | None) -> SocketStream:
         stream = await connect(host, port, local_host=local_host)
         opened.append(stream)
         await anyio.aclose_forcefully(stream)
         await anyio.sleep(0.01)
         return stream
 
-    monkeypatch.setattr(anyio, "connect_tcp", connect_and_lose)
+    monkeypatch.setattr(anyio, "connect_tcp", connect_and_close)
     async with backend(Script([OK])) as request:
         with pytest.raises(AttemptFailed) as caught:
-            await HttpClient().exchange(request, steady_clock() + PATIENCE)
+            await HttpClient().exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         assert caught.value.phase is FailurePhase.TURNED_AWAY
     assert len(opened) == 1
 
 
-async def test_connections_have_the_options_that_were_asked_for() -> None:
-    """The store's connections end soon after their other end has gone, also while they wait."""
+async def test_connections_have_the_given_socket_options() -> None:
+    """The store's connections use socket options to detect a lost peer, also while they wait."""
     option = (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     async with backend(Script([OK])) as request:
         client = HttpClient(socket_options=[option])
-        await client.exchange(request, steady_clock() + PATIENCE)
+        await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         (connection,) = client._idle[request.address]
         raw = connection.stream.extra(SocketAttribute.raw_socket)
         assert raw.getsockopt(*option[:2]) == 1
         await client.aclose()
 
 
-async def test_a_request_that_may_run_once_is_not_sent_where_a_new_connection_is_reset(
+async def test_a_watched_request_is_not_sent_on_a_connection_that_is_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found on zhbs-gate-large: 1,552 filings ended with 502, which callers cannot repeat."""
+    """A connection reset right after opening must not make the outcome of a request unknown.
+
+    Found on zhbs-gate-large: 1,552 filings ended with 502, which callers cannot repeat.
+    """
     monkeypatch.setattr(http_client, "EARLY_RESET_WINDOW", 0.5)
 
     async def reset(stream: SocketStream) -> None:
@@ -247,23 +255,23 @@
     async with listener, anyio.create_task_group() as tasks:
         tasks.start_soon(listener.serve, reset)
         with pytest.raises(AttemptFailed) as caught:
-            await HttpClient().exchange(request, steady_clock() + PATIENCE)
+            await HttpClient().exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         tasks.cancel_scope.cancel()
     assert caught.value.phase is FailurePhase.TURNED_AWAY
 
 
 class PooledConnection(http_client._Connection):
-    """A resting connection; closing it takes until the test lets it."""
+    """An idle connection whose close waits until the test sets `may_close`."""
 
-    def __init__(self, is_sound: bool) -> None:
-        self.idle_until = steady_clock() + PATIENCE
+    def __init__(self, is_usable: bool) -> None:
+        self.idle_until = steady_clock() + EXCHANGE_TIMEOUT
         self.closing = anyio.Event()
         self.may_close = anyio.Event()
         self.is_closed = False
-        self._is_sound = is_sound
+        self._is_usable = is_usable
 
     def has_no_input(self) -> bool:
-        return self._is_sound
+        return self._is_usable
 
     async def aclose(self) -> None:
         self.closing.set()
@@ -271,31 +279,31 @@
         self.is_closed = True
 
 
-@pytest.mark.parametrize("upkeep", ["drop_idle", "drop_address"])
-async def test_a_resting_connection_is_never_handed_out_twice(upkeep: str) -> None:
-    """A caller got 500, since two requests read from one connection to a back end.
+@pytest.mark.parametrize("cleanup", ["drop_idle", "drop_address"])
+async def test_an_idle_connection_is_never_taken_twice(cleanup: str) -> None:
+    """Guards against two requests that read from one connection, so that a caller gets 500.
 
-    In order: a request found that a resting connection had ended, and closed it; meanwhile the
-    upkeep of resting connections put those that were left into a new list; the request went on with
-    the old list and took one that the new list still held; the next request took it too. The
-    evidence: the line of the broken request, "another task is already reading".
+    A request closes an idle connection that has ended. Meanwhile the cleanup of idle connections
+    moves the remaining ones into a new list. The request continues with the old list and takes a
+    connection that the new list still holds; the next request takes it too and fails with
+    "another task is already reading".
     """
     client = HttpClient()
     address = "127.0.0.1:1"
-    ended, sound = PooledConnection(False), PooledConnection(True)
-    client._idle[address] = deque([sound, ended])
+    ended, usable = PooledConnection(False), PooledConnection(True)
+    client._idle[address] = deque([usable, ended])
     request = HttpRequest(address, b"GET", b"/", [])
     taken: list[http_client._Connection] = []
     done = anyio.Event()
 
     async def take() -> None:
-        # Nobody listens at the address: there may be no connection at all.
+        # No process listens on the address: if no idle connection is left, connecting fails.
         with contextlib.suppress(AttemptFailed):
-            taken.append(await client._acquire(request, steady_clock() + PATIENCE))
+            taken.append(await client._acquire(request, steady_clock() + EXCHANGE_TIMEOUT))
         done.set()
 
-    async def keep_up() -> None:
-        if upkeep == "drop_idle":
+    async def clean_up() -> None:
+        if cleanup == "drop_idle":
             await client.drop_idle({address})
         else:
             await client._drop_idle_to(address)
@@ -303,24 +311,24 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(take)
         await ended.closing.wait()
-        tasks.start_soon(keep_up)
+        tasks.start_soon(clean_up)
         await anyio.wait_all_tasks_blocked()
         ended.may_close.set()
-        sound.may_close.set()
+        usable.may_close.set()
         await done.wait()
         tasks.cancel_scope.cancel()
     for connection in taken:
         assert connection not in client._idle.get(address, ())
-        assert connection is not sound or not sound.is_closed
+        assert connection is not usable or not usable.is_closed
 
 
-async def test_a_request_that_is_given_up_resets_its_connection() -> None:
-    """Two back ends held a key, the former owner by a grant that had been given up seconds before.
+async def test_an_aborted_request_resets_its_connection() -> None:
+    """Guards against two owners of a key, the former one by a grant abandoned seconds before.
 
-    In order: a cut held up the bytes of a grant; the leader gave it up and closed the connection;
-    the key got another owner once the lease could not run any more; the cut healed, and the bytes
-    of the closed connection were delivered after all. The evidence: a back end took a fence of
-    which the leader's log says "awaiting: out of time" 6 s earlier. Bytes that are held up are lost
+    A network partition delays the bytes of a grant; the leader aborts it and closes the connection;
+    the key gets another owner once the lease must have expired; the partition heals, and the bytes
+    of the closed connection are still delivered. It was seen as a back end that accepted a fence
+    for which the leader had logged "awaiting: out of time" 6 s earlier. Delayed bytes are discarded
     if their sender resets the connection.
     """
     ends: list[type[Exception]] = []
@@ -342,7 +350,7 @@
         request = HttpRequest(f"127.0.0.1:{port}", b"GET", b"/", [(b"host", b"h")])
         with pytest.raises(AttemptFailed):
             await HttpClient().exchange(request, steady_clock() + 0.1)
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(EXCHANGE_TIMEOUT):
             await ended.wait()
         tasks.cancel_scope.cancel()
     await listener.aclose()
@@ -350,13 +358,13 @@
 
 
 @pytest.mark.parametrize("error", http_client.MISSING_SOCKET_ERRORS)
-async def test_a_connection_that_the_other_end_has_reset_can_be_reset(
+async def test_a_connection_that_its_peer_has_reset_can_be_reset(
     error: type[Exception], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop of a node raises another error than the one of these tests."""
+    """The event loop of a node raises another error than the event loop of these tests."""
     async with backend(Script([OK])) as request:
         client = HttpClient()
-        await client.exchange(request, steady_clock() + PATIENCE)
+        await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
         (connection,) = client._idle[request.address]
 
         def extra(attribute: object) -> object:
--- a/tests/unit/test_http_codec.py
+++ b/tests/unit/test_http_codec.py
@@ -1,4 +1,4 @@
-"""Heads of requests, and answers in any pieces."""
+"""Encoding of request heads, and parsing of responses split at any points."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 
 @given(st.sampled_from([OK, CHUNKED, INTERIM + OK, INTERIM + CHUNKED]), st.data())
 @settings(max_examples=200, derandomize=True, deadline=None)
-def test_an_answer_is_the_same_in_whatever_pieces_it_comes(
-    answer: bytes, data: st.DataObject
+def test_a_response_split_at_any_points_is_parsed_the_same(
+    response: bytes, data: st.DataObject
 ) -> None:
-    cuts = sorted(data.draw(st.lists(st.integers(1, len(answer) - 1), max_size=6)))
-    edges = [0, *cuts, len(answer)]
+    split_points = sorted(data.draw(st.lists(st.integers(1, len(response) - 1), max_size=6)))
+    bounds = [0, *split_points, len(response)]
     parser = http_codec.ResponseParser()
-    for start, end in itertools.pairwise(edges):
+    for start, end in itertools.pairwise(bounds):
         assert not parser.is_complete
-        parser.feed(answer[start:end])
+        parser.feed(response[start:end])
     assert parser.is_complete and parser.is_reusable
     assert (parser.status, parser.body) == (200, b"ok")
     assert all(name not in (b"link", b"x-late") for name, _ in parser.headers)
 
 
-def test_headers_have_lower_names_and_no_blanks_around_values() -> None:
+def test_header_names_are_lower_case_and_values_stripped() -> None:
     assert (b"x-a", b"b") in read(OK).headers
 
 
 @pytest.mark.parametrize("surplus", [b"x", OK, b"HTTP/1.1 500 Oops\r\n\r\n", b"\x00\x00", b"HTTP"])
 @pytest.mark.parametrize("at_once", [True, False])
-def test_bytes_after_an_answer_end_its_connection_and_not_the_answer(
+def test_surplus_bytes_prevent_reuse_but_do_not_invalidate_the_response(
     surplus: bytes, at_once: bool
 ) -> None:
     parser = read(OK + surplus) if at_once else read(OK, surplus)
@@ -60,32 +60,32 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
     ],
 )
-def test_a_server_that_closes_is_not_asked_again(answer: bytes) -> None:
-    assert read(answer).is_complete
-    assert not read(answer).is_reusable
+def test_a_connection_that_the_server_closes_is_not_reusable(response: bytes) -> None:
+    assert read(response).is_complete
+    assert not read(response).is_reusable
 
 
-def test_an_answer_without_a_length_ends_with_its_connection() -> None:
+def test_a_response_without_a_length_ends_with_its_connection() -> None:
     unframed = b"HTTP/1.1 200 OK\r\n\r\no"
     assert not read(unframed, b"k").is_complete
     parser = read(unframed, b"k", ended=True)
     assert parser.body == b"ok" and not parser.is_reusable
 
 
-def test_an_answer_to_head_has_no_body() -> None:
+def test_a_response_to_head_has_no_body() -> None:
     parser = read(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", is_head_request=True)
     assert parser.is_complete and parser.body == b""
     assert not parser.is_reusable
 
 
 @pytest.mark.parametrize("status", [b"204 No Content", b"304 Not Modified"])
-def test_an_answer_without_content_is_whole_with_its_head(status: bytes) -> None:
+def test_a_response_without_content_is_complete_after_its_head(status: bytes) -> None:
     assert read(b"HTTP/1.1 " + status + b"\r\n\r\n").is_complete
 
 
@@ -100,13 +100,13 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",),
     ],
 )
-def test_what_ended_early_is_not_whole(pieces: tuple[bytes, ...]) -> None:
+def test_a_response_that_ends_early_is_rejected(pieces: tuple[bytes, ...]) -> None:
     with pytest.raises(http_codec.BadResponse):
         read(*pieces, ended=True)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"no such protocol\r\n\r\n",
         b"GET / HTTP/1.1\r\n\r\n",
@@ -118,12 +118,12 @@
         b"HTTP/1.1 200 OK\r\nX: " + b"a" * 70_000,
     ],
 )
-def test_what_is_no_answer_is_refused(answer: bytes) -> None:
+def test_an_invalid_response_is_rejected(response: bytes) -> None:
     with pytest.raises(http_codec.BadResponse):
-        read(answer)
+        read(response)
 
 
-def test_a_head_as_a_server_gets_it() -> None:
+def test_encoded_request_head() -> None:
     headers = [(b"host", b"h"), (b"content-length", b"2")]
     assert http_codec.encode_head(b"POST", b"/a?b", headers, 2) == (
         b"POST /a?b HTTP/1.1\r\nhost: h\r\ncontent-length: 2\r\n\r\n"
@@ -146,7 +146,7 @@
         (b"GET", b"/", [], 2),
     ],
 )
-def test_what_a_server_would_read_otherwise_is_not_written(
+def test_an_invalid_request_head_is_rejected(
     method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], length: int
 ) -> None:
     with pytest.raises(http_codec.BadRequest):
--- a/tests/unit/test_silent_connections.py
+++ b/tests/unit/test_silent_connections.py
@@ -1,7 +1,7 @@
-"""Kept connections that have gone silent, without a reset, while new ones work.
+"""Idle connections that stop working without a reset, while new connections work.
 
-Nothing shows it but the time that passes: without a bound of its own, a request sent on such a
-connection waits until its caller's deadline, although it could be served elsewhere.
+Only the lack of acknowledgements shows it: without a timeout of its own, a request sent on such a
+connection waits until its caller's deadline, although another back end could serve it.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from limedeck_lab.standins.silent_socket import make_deaf
 
 pytestmark = pytest.mark.anyio
-PATIENCE = 20.0
-"""Far above the time after which a silent connection must be given up."""
+EXCHANGE_TIMEOUT = 20.0
+"""Far above the time after which an unresponsive connection must be ended."""
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-TOGETHER = 3
+CONNECTION_COUNT = 3
 
 
 @pytest.fixture
@@ -33,7 +33,7 @@
 
 @dataclass
 class Server:
-    """Answers every request, and counts its connections."""
+    """Responds to every request, and records its connections."""
 
     streams: list[SocketStream] = field(default_factory=list)
 
@@ -48,8 +48,8 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 return
 
-    def go_silent(self) -> None:
-        """All connections that are open now hear nothing more."""
+    def drop_received_packets(self) -> None:
+        """Make all open connections drop everything that they receive."""
         for stream in self.streams:
             make_deaf(stream.extra(SocketAttribute.raw_socket))
 
@@ -58,31 +58,31 @@
 async def server() -> AsyncIterator[tuple[Server, HttpRequest]]:
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
-    found = Server()
+    backend = Server()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(listener.serve, found.serve)
-        yield found, HttpRequest(f"127.0.0.1:{port}", b"GET", b"/x", [(b"host", b"h")])
+        tasks.start_soon(listener.serve, backend.serve)
+        yield backend, HttpRequest(f"127.0.0.1:{port}", b"GET", b"/x", [(b"host", b"h")])
         tasks.cancel_scope.cancel()
     await listener.aclose()
 
 
 async def exchange(client: HttpClient, request: HttpRequest) -> int:
-    answer = await client.exchange(request, steady_clock() + PATIENCE)
-    return answer.status
+    response = await client.exchange(request, steady_clock() + EXCHANGE_TIMEOUT)
+    return response.status
 
 
-async def keep_connections(client: HttpClient, request: HttpRequest) -> None:
-    """Leave the client with several kept connections."""
+async def open_connections(client: HttpClient, request: HttpRequest) -> None:
+    """Leave the client with several idle connections."""
     async with anyio.create_task_group() as tasks:
-        for _ in range(TOGETHER):
+        for _ in range(CONNECTION_COUNT):
             tasks.start_soon(exchange, client, request)
 
 
-async def test_a_request_on_a_silent_connection_fails_long_before_its_deadline() -> None:
-    async with server() as (found, request):
+async def test_a_request_on_a_dead_connection_fails_long_before_its_deadline() -> None:
+    async with server() as (backend, request):
         client = HttpClient()
-        await keep_connections(client, request)
-        found.go_silent()
+        await open_connections(client, request)
+        backend.drop_received_packets()
         with pytest.raises(AttemptFailed) as caught:
             await exchange(client, request)
         assert caught.value.phase is FailurePhase.AWAITING
@@ -90,21 +90,21 @@
 
 
 async def test_the_next_request_gets_a_new_connection() -> None:
-    """One kept connection that went silent says enough of the others to the same address."""
-    async with server() as (found, request):
+    """After one idle connection has failed, the others to the same address are closed as well."""
+    async with server() as (backend, request):
         client = HttpClient()
-        await keep_connections(client, request)
-        found.go_silent()
+        await open_connections(client, request)
+        backend.drop_received_packets()
         with pytest.raises(AttemptFailed):
             await exchange(client, request)
         assert await exchange(client, request) == 200
-        assert len(found.streams) == TOGETHER + 1
+        assert len(backend.streams) == CONNECTION_COUNT + 1
 
 
-async def test_a_connection_that_is_slow_to_answer_is_waited_for() -> None:
-    """Its bytes are acknowledged: only the answer takes its time."""
-    async with server() as (found, request):
+async def test_a_slow_response_does_not_end_the_connection() -> None:
+    """Sent bytes are acknowledged, so a slow response is no sign of a dead connection."""
+    async with server() as (backend, request):
         client = HttpClient()
         assert await exchange(client, request) == 200
         assert await exchange(client, request) == 200
-        assert len(found.streams) == 1
+        assert len(backend.streams) == 1
