--- a/src/limedeck/platform/__init__.py
+++ b/src/limedeck/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls, translated into the product's own types.
+"""Adapters of the users' platform: its names, formats and calls as limedeck's own types.
 
-Nothing here decides: no retry, no time-out rule, no choice.
+They only translate: retries, time-outs and other decisions are left to their callers.
 """
--- a/src/limedeck/platform/headers.py
+++ b/src/limedeck/platform/headers.py
@@ -16,15 +16,15 @@
 SIGNATURE = b"x-upstream-signature"
 LIMIT = b"server-limit"
 LIMIT_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-"""A decimal number; longer ones mean nothing that a request rate could be."""
+"""A decimal number; longer ones cannot be request rates."""
 LEAVING = b"server-leaving"
 LEAVING_TRUE = b"1"
 MISDIRECTED = 421
-FIRST_FAILURE = 300
-USUAL_PACE = 100.0
-LOAD_FIGURES = 3
+MIN_UNSIGNED_STATUS = 300
+USUAL_SLOWDOWN_PERCENT = 100.0
+MIN_LOAD_FIELDS = 3
 KEY_COUNT = 65_536
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class PlatformProtocol(CallerProtocol):
@@ -38,14 +38,14 @@
 
     def time_left(self, headers: dict[bytes, bytes]) -> Seconds | None:
         value = _number(headers.get(DEADLINE))
-        return None if value is None else value / MILLISECONDS
+        return None if value is None else value / MILLISECONDS_PER_SECOND
 
     def key_position(self, headers: dict[bytes, bytes]) -> int | None:
         value = _number(headers.get(KEY))
         return int(value) if value is not None and value < KEY_COUNT else None
 
     def attempt_headers(self, instance: str, time_left: Seconds) -> Headers:
-        left = max(int(time_left * MILLISECONDS), 1)
+        left = max(int(time_left * MILLISECONDS_PER_SECOND), 1)
         return [(DEADLINE, b"%d" % left), (EXPECTED_INSTANCE, instance.encode())]
 
     def response_metadata(self, status: int, headers: Headers) -> ResponseMetadata:
@@ -58,7 +58,7 @@
             not_run=NOT_RUN in found or status == MISDIRECTED,
             wrong_instance=status == MISDIRECTED,
             load=load,
-            is_from_backend=status >= FIRST_FAILURE or SIGNATURE in found,
+            is_from_backend=status >= MIN_UNSIGNED_STATUS or SIGNATURE in found,
             unreadable_load=load is None and LOAD in found,
             limit=limit,
             unreadable_limit=limit is None and bool(limits),
@@ -70,7 +70,7 @@
 
 
 def announces_leaving(headers: dict[bytes, bytes]) -> bool:
-    """Whether an answer announces that its upstream is leaving."""
+    """Whether a response announces that its upstream is leaving."""
     return headers.get(LEAVING, b"").strip() == LEAVING_TRUE
 
 
@@ -83,7 +83,7 @@
 
 
 def _limit(values: set[bytes]) -> float | None:
-    """Read a limit that was named once, or several times alike."""
+    """Return the limit if all headers state the same valid one, otherwise None."""
     if len(values) != 1:
         return None
     (value,) = values
@@ -94,11 +94,11 @@
     if value is None:
         return None
     parts = [_number(part) for part in value.split(b",")]
-    if len(parts) < LOAD_FIGURES:
+    if len(parts) < MIN_LOAD_FIELDS:
         return None
-    running, waiting, slots = parts[:LOAD_FIGURES]
+    running, waiting, slots = parts[:MIN_LOAD_FIELDS]
     if running is None or waiting is None or slots is None:
         return None
-    slowdown = parts[LOAD_FIGURES] if len(parts) > LOAD_FIGURES else None
-    # What cannot be read of the later figures does not cost the first ones.
-    return LoadReport(int(running), int(waiting), int(slots), (slowdown or USUAL_PACE) / USUAL_PACE)
+    slowdown = parts[MIN_LOAD_FIELDS] if len(parts) > MIN_LOAD_FIELDS else None
+    # The first fields count even if a later one cannot be parsed.
+    return LoadReport(int(running), int(waiting), int(slots), (slowdown or USUAL_SLOWDOWN_PERCENT) / USUAL_SLOWDOWN_PERCENT)
--- a/src/limedeck/platform/messages.py
+++ b/src/limedeck/platform/messages.py
@@ -1,4 +1,4 @@
-"""The rows that the operator and the upstreams write (PROTOCOL.md), as the product's own types."""
+"""Parses the rows that the operator and the upstreams write (PROTOCOL.md)."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 BACKENDS_TABLE = "servers"
 REPEATABLE = "safe"
 ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-LONGEST_WARMUP: Seconds = 3600.0
-"""No back end is cold for an hour; whoever writes so is no back end."""
+MAX_WARMUP: Seconds = 3600.0
+"""Longest warm-up accepted: no back end is cold for an hour, so another program wrote the entry."""
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 DRAINING = "draining"
 
@@ -72,7 +72,7 @@
 class _Status(msgspec.Struct):
     state: Literal["ready", "draining"]
     sequence: int
-    warmup_s_time: Annotated[float, msgspec.Meta(ge=0, le=LONGEST_WARMUP)]
+    warmup_s_time: Annotated[float, msgspec.Meta(ge=0, le=MAX_WARMUP)]
 
 
 class _Server(msgspec.Struct):
@@ -87,12 +87,12 @@
 
 
 def read_configuration(value: bytes) -> Configuration:
-    """Read the operator's configuration.
+    """Parse the operator's configuration.
 
     Raises
     ------
     PlatformProtocolError
-        It cannot be read.
+        The configuration is invalid.
     """
     try:
         found = _CONFIGURATION.decode(value)
@@ -112,20 +112,20 @@
 
 
 def evacuated_zone(key: str) -> str | None:
-    """Return the zone that a row of the configuration's table asks to be evacuated, if it does."""
+    """Return the zone that a configuration row with this key requests to evacuate, if any."""
     return key.removeprefix(EVACUATION_PREFIX) if key.startswith(EVACUATION_PREFIX) else None
 
 
 def read_backend(key: str, value: bytes) -> Backend:
-    """Read an upstream's entry.
+    """Parse an upstream's entry.
 
-    An entry that lacks a field, or has one of another type or meaning, names no back end: it may
-    come from another writer. `born` alone may be missing; without it an id stands for one life.
+    An entry that lacks a field, or has an invalid one, is rejected: another program may have
+    written it. Only `born` may be missing; then one id stands for all incarnations.
 
     Raises
     ------
     PlatformProtocolError
-        It cannot be read.
+        The entry is invalid.
     """
     try:
         found = _SERVER.decode(value)
--- a/src/limedeck/platform/store.py
+++ b/src/limedeck/platform/store.py
@@ -29,7 +29,7 @@
     WriteResult,
 )
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 DEAD_PEER_OPTIONS = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -37,7 +37,7 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2500),
 ]
-"""A connection whose other end is gone ends within three seconds, also while it waits."""
+"""Close a connection within three seconds after the peer disappeared, even during a long poll."""
 OK = 200
 HISTORY_GONE = 410
 CONDITION_FAILED = 412
@@ -70,7 +70,7 @@
     address
         IP number and port.
     timeout
-        Longest time to wait for an answer beyond what the call itself asks for, in seconds.
+        Longest time to wait for a response, in addition to the wait that a call requests.
     """
 
     def __init__(self, address: str, timeout: Seconds) -> None:
@@ -94,22 +94,22 @@
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> WriteResult:
         body = {
-            "expected_revision": [{**_names(c.row), "ver": c.version} for c in conditions],
-            "put": [{**_names(w.row), "value": w.value} for w in writes if w.value is not None],
-            "remove": [_names(w.row) for w in writes if w.value is None],
+            "expected_revision": [{**_key_fields(c.row), "ver": c.version} for c in conditions],
+            "put": [{**_key_fields(w.row), "value": w.value} for w in writes if w.value is not None],
+            "remove": [_key_fields(w.row) for w in writes if w.value is None],
         }
-        answer = await self._call("POST", "/v1/rows-tx", {}, msgspec.json.encode(body))
-        found = _decoded(answer)
-        if answer.status == CONDITION_FAILED:
+        response = await self._call("POST", "/v1/rows-tx", {}, msgspec.json.encode(body))
+        found = _decoded(response)
+        if response.status == CONDITION_FAILED:
             raise ConditionFailed(tuple(_stored(row) for row in found.rows if row.ver))
         return WriteResult(found.ver, found.now_s)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
-        query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MILLISECONDS))}
-        answer = await self._call("GET", "/v1/rows-feed", query, timeout=wait + self._timeout)
-        if answer.status == HISTORY_GONE:
+        query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MILLISECONDS_PER_SECOND))}
+        response = await self._call("GET", "/v1/rows-feed", query, timeout=wait + self._timeout)
+        if response.status == HISTORY_GONE:
             raise HistoryGone
-        found = _decoded(answer)
+        found = _decoded(response)
         return TableChanges(
             rows=tuple(_stored(row) for row in found.rows if not row.gone),
             dropped=tuple(DroppedRow(row.key_file, row.ver) for row in found.rows if row.gone),
@@ -137,15 +137,15 @@
         )
         until = clock.steady_clock() + (timeout or self._timeout)
         try:
-            answer = await self._client.exchange(request, until)
+            response = await self._client.exchange(request, until)
         except AttemptFailed as error:
             raise StoreUnavailable(str(error)) from error
-        if answer.status not in (OK, HISTORY_GONE, CONDITION_FAILED):
-            raise StoreRefused(answer.status)
-        return answer
+        if response.status not in (OK, HISTORY_GONE, CONDITION_FAILED):
+            raise StoreRefused(response.status)
+        return response
 
 
-def _names(row: RowKey) -> dict[str, str]:
+def _key_fields(row: RowKey) -> dict[str, str]:
     return {"table": row.table, "part": row.part, "key_file": row.key}
 
 
@@ -153,8 +153,8 @@
     return StoredRow(row.table, row.part, row.key_file, row.value, row.ver)
 
 
-def _decoded(answer: http_client.HttpResponse) -> _Rows:
+def _decoded(response: http_client.HttpResponse) -> _Rows:
     try:
-        return msgspec.json.decode(answer.body, type=_Rows)
+        return msgspec.json.decode(response.body, type=_Rows)
     except msgspec.DecodeError as error:
         raise StoreProtocolError(str(error)) from error
--- a/src/limedeck/store/__init__.py
+++ b/src/limedeck/store/__init__.py
@@ -1,1 +1,1 @@
-"""Stores that outlast every node: abstract classes, and one adapter a file."""
+"""Stores whose data survives the loss of every node: interfaces, and one adapter per file."""
--- a/src/limedeck/store/feeds.py
+++ b/src/limedeck/store/feeds.py
@@ -1,7 +1,8 @@
-"""Which nodes keep feeds of the store: the leader and a few others; these tell the rest.
+"""Which nodes keep feeds of the store: the leader and a few observers; these update the others.
 
-A feed at every node would cost calls that grow with nodes times changes. A node that is told goes
-back to feeds of its own as soon as it cannot be sure that the leader would know of a change.
+With a feed at every node, calls to the store would grow with the number of nodes times the number
+of changes. A node without feeds resumes them as soon as it cannot be sure that the leader learns
+of changes.
 """
 
 from __future__ import annotations
@@ -15,32 +16,35 @@
     from collections.abc import Mapping
 
 
-OBSERVERS = 2
-"""Nodes beside the leader that keep feeds; they show a leader that its own feed is dead."""
+OBSERVER_COUNT = 2
+"""Nodes besides the leader that keep feeds; a leader whose feed is dead finds that their tables are
+newer."""
 START_PATIENCE: identity.Seconds = 1.0
-"""A node that has just started waits so long to be told."""
-TOLD_PATIENCE: identity.Seconds = 0.7
-"""Longest time between two words of the leader; above its heartbeat interval, below two."""
+"""How long a node that has just started waits for the leader's status before it keeps feeds."""
+STATUS_TIMEOUT: identity.Seconds = 0.7
+"""Longest time between two statuses of the leader: more than one of its heartbeat intervals, less
+than two."""
 LEADER_STORE_SILENCE: identity.Seconds = 1.2
-"""A leader that the store has not confirmed for so long may not know of changes."""
-SHORTEST_STAY: identity.Seconds = 1.5
-"""A node that has gone back to feeds keeps them at least so long; above two of their calls."""
-FLEET_CALLS = 300.0
-"""Calls a second that all nodes together make for one table while each keeps feeds of its own: an
-estimate, far below what any known store takes. It slows more than 45 nodes."""
-LONGEST_BRIEF_PAUSE: identity.Seconds = 0.8
-"""With more nodes than that allows, a change is known so late; changes bind nodes after 2 s."""
+"""A leader that the store has not confirmed for this long may miss changes."""
+MIN_FEED_TIME: identity.Seconds = 1.5
+"""Shortest time for which a node keeps feeds that it has resumed; longer than two of their calls."""
+MAX_FEED_CALLS_PER_SECOND = 300.0
+"""Calls for one table by all nodes together while each keeps feeds of its own; far below what any
+known store accepts. It slows down the feeds of more than 45 nodes."""
+MAX_TEMPORARY_FEED_PAUSE: identity.Seconds = 0.8
+"""Upper bound of the delay of a change when there are too many nodes for the rate above: changes
+have to be in force at all nodes after 2 s."""
 
 
 class FeedMode(enum.Enum):
-    """What a node does to learn of changes.
+    """How a node learns of changes.
 
     NONE
-        Nothing: it is told.
-    BRIEF
-        It keeps feeds while nobody tells it, and nobody would show it that one is dead.
-    LASTING
-        It keeps feeds, and other nodes show it when one is dead.
+        It keeps no feeds; other nodes send it updates.
+    TEMPORARY
+        It keeps feeds while nobody sends updates; no other node would show that one is dead.
+    PERMANENT
+        It keeps feeds; newer tables at other nodes show when one is dead.
     """
 
     NONE = "none"
@@ -49,20 +53,20 @@
 
 
 class FeedPolicy:
-    """Whether one node keeps feeds of its own.
+    """Decides whether a node keeps feeds of its own.
 
     Parameters
     ----------
     now
-        When the node started, on its clock.
+        Start time of the node, on its clock.
     place
-        Where this node stands among all, from 0 to 1; the first ones ask the store first.
+        Position of this node among all, from 0 to 1; nodes at lower ones resume feeds earlier.
     """
 
     def __init__(self, now: identity.Seconds, place: float = 0.0) -> None:
         self._place = place
-        self._told_until = now + START_PATIENCE
-        self._stays_until: identity.Seconds = identity.NEVER
+        self._status_valid_until = now + START_PATIENCE
+        self._keeps_feeds_until: identity.Seconds = identity.NEVER
         self._is_observer = False
         self._node_count = 1
 
@@ -73,49 +77,50 @@
         now: identity.Seconds,
         node_count: int = 1,
     ) -> None:
-        """The leader was heard.
+        """Handle a status that the leader sent.
 
         Parameters
         ----------
         observes
-            The leader wants this node to keep feeds.
+            Whether the leader wants this node to keep feeds.
         leader_store_silence
-            How long the store has not confirmed the leader.
+            Time since the store last confirmed the leader.
         node_count
-            Nodes that follow the leader, and itself.
+            Nodes that follow the leader, and the leader.
         """
-        # If the store serves some nodes they tell the others; if it serves none, calls are few.
-        patience = LEADER_STORE_SILENCE + staggering.delay(self._place, node_count)
+        # Nodes resume feeds one after the other: if the store serves the first of them, these
+        # update the others; if it serves none, it gets few calls.
+        max_silence = LEADER_STORE_SILENCE + staggering.delay(self._place, node_count)
         self._is_observer = observes
         self._node_count = node_count
-        if leader_store_silence <= patience:
-            self._told_until = now + TOLD_PATIENCE
+        if leader_store_silence <= max_silence:
+            self._status_valid_until = now + STATUS_TIMEOUT
         else:
-            self._told_until = identity.NEVER
+            self._status_valid_until = identity.NEVER
 
     def temporary_feed_pause(self) -> identity.Seconds:
-        """Least time between two calls of a feed that is kept while nobody tells this node.
+        """Return the shortest time between two calls of a temporary feed.
 
-        All nodes keep such feeds at the same time, and each change would wake all of them.
+        All nodes keep temporary feeds at the same time, and each change would wake all of them.
         """
-        return min(self._node_count / FLEET_CALLS, LONGEST_BRIEF_PAUSE)
+        return min(self._node_count / MAX_FEED_CALLS_PER_SECOND, MAX_TEMPORARY_FEED_PAUSE)
 
     def feeds(self, leads: bool, now: identity.Seconds) -> FeedMode:
-        """What this node does now."""
-        if now > self._told_until and not leads:
-            self._stays_until = now + SHORTEST_STAY
-        if now <= self._stays_until:
+        """Return the mode of this node's feeds."""
+        if now > self._status_valid_until and not leads:
+            self._keeps_feeds_until = now + MIN_FEED_TIME
+        if now <= self._keeps_feeds_until:
             return FeedMode.TEMPORARY
         return FeedMode.PERMANENT if leads or self._is_observer else FeedMode.NONE
 
 
 def choose_observers(zones: Mapping[str, str], leader_zone: str) -> frozenset[str]:
-    """Choose the nodes that keep feeds beside the leader, each in a zone of its own if possible.
+    """Choose the nodes that keep feeds besides the leader, each in a zone of its own if possible.
 
     Parameters
     ----------
     zones
-        Zone by node, for the nodes that follow; those that have followed longest first.
+        Zone by node, for the nodes that follow the leader, the longest-standing follower first.
     """
     chosen: list[str] = []
     covered = {leader_zone}
@@ -124,4 +129,4 @@
             chosen.append(node)
             covered.add(zone)
     chosen += [node for node in zones if node not in chosen]
-    return frozenset(chosen[:OBSERVERS])
+    return frozenset(chosen[:OBSERVER_COUNT])
--- a/src/limedeck/store/replica.py
+++ b/src/limedeck/store/replica.py
@@ -1,7 +1,7 @@
-"""One node's replica of a table: what it holds, since when, and what another node lacks of it.
+"""A node's replica of a table: its rows, when they were learned, and updates for other nodes.
 
 Replicas learn of changes in the order of their versions, from the store or from each other. So
-one number, the newest version that a replica holds, says all about what it lacks.
+the newest version that a replica holds is enough to tell which changes it lacks.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 MOST_DROPPED = 2_000
-"""Dropped rows that are remembered; who lacks more is told the table whole."""
+"""Dropped rows that a replica keeps; a replica that lacks older ones is sent a snapshot."""
 
 
 class Source(enum.Enum):
-    """Where a change was learned."""
+    """Whether a change was learned from the store or from another node."""
 
     STORE = "store"
     NODE = "node"
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A row, or that it was dropped.
+    """A row, or the fact that it was dropped.
 
     Parameters
     ----------
     version
-        Of the row's newest change.
+        Version of the row's newest change.
     value
         None if the row was dropped.
     """
@@ -47,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableUpdate:
-    """What another node's replica lacks.
+    """Changes that another node's replica lacks, or a snapshot.
 
     Parameters
     ----------
     whole
-        These are all rows as of `newest`; others have been dropped.
+        The entries are all rows as of `newest`; any other row has been dropped.
     newest
-        Version that a replica has reached with these entries.
+        Version that a replica reaches with these entries.
     """
 
     table: str
@@ -69,20 +69,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
-    """An entry and when the store told of it; `NEVER` if another node did."""
+class _LearnedEntry:
+    """An entry and when it was learned from the store; `NEVER` if from another node."""
 
     entry: Entry
-    since: identity.Seconds
+    learned_at: identity.Seconds
 
 
 class TableReplica:
-    """Rows of one table by key.
+    """A node's copy of one table.
 
     Parameters
     ----------
     put, remove
-        Called for each change that is taken in.
+        Called for each change that is applied.
     """
 
     def __init__(
@@ -97,9 +97,9 @@
         self.is_complete = False
         self._put = put
         self._remove = remove
-        self._known: dict[str, _Known] = {}
+        self._entries: dict[str, _LearnedEntry] = {}
         self._dropped: dict[str, int] = {}
-        self._forgotten = 0
+        self._history_start = 0
 
     def apply_snapshot(
         self,
@@ -108,13 +108,13 @@
         source: Source,
         now: identity.Seconds,
     ) -> None:
-        """Take in all rows as of one version; rows that are not among them were dropped by then."""
+        """Apply all rows as of one version; rows that are not among them were dropped by then."""
         found = {entry.key: entry for entry in entries}
         for entry in found.values():
-            self._take(entry, source, now)
+            self._apply(entry, source, now)
         for key in self._live_keys() - found.keys():
-            if self._known[key].entry.version <= newest:
-                self._take(Entry(key, newest, None), source, now)
+            if self._entries[key].entry.version <= newest:
+                self._apply(Entry(key, newest, None), source, now)
         if source is Source.NODE:
             self.newest = max(self.newest, newest)
         self.is_complete = True
@@ -126,78 +126,78 @@
         source: Source,
         now: identity.Seconds,
     ) -> None:
-        """Take in changes in the order of their versions."""
+        """Apply changes in the order of their versions."""
         before = self.newest
         for entry in entries:
-            self._take(entry, source, now)
+            self._apply(entry, source, now)
         if self.newest > before:
             self.on_change()
 
-    def apply_update(self, news: TableUpdate, now: identity.Seconds) -> None:
-        """Take in what another node's replica holds."""
-        if news.whole:
-            self.apply_snapshot(news.entries, news.newest, Source.NODE, now)
+    def apply_update(self, update: TableUpdate, now: identity.Seconds) -> None:
+        """Apply an update from another node's replica."""
+        if update.whole:
+            self.apply_snapshot(update.entries, update.newest, Source.NODE, now)
         else:
-            self.apply_changes(news.entries, Source.NODE, now)
+            self.apply_changes(update.entries, Source.NODE, now)
 
-    def update_for(self, newest: int, known_before: identity.Seconds) -> TableUpdate | None:
-        """What a replica lacks that has reached a version; None if that is nothing.
+    def update_for(self, newest: int, learned_before: identity.Seconds) -> TableUpdate | None:
+        """Return the changes after a version that another replica has reached; None without any.
 
         Parameters
         ----------
-        known_before
-            Changes that this replica learned later are left out: most others learn them from
-            the store meanwhile.
+        learned_before
+            Changes that this replica learned later are left out: most other replicas learn them
+            from the store meanwhile.
         """
         if newest >= self.newest or not self.is_complete:
             return None
-        if newest == 0 or newest < self._forgotten:
-            return self._whole(known_before)
-        lacking = sorted(
-            (item for item in self._known.values() if item.entry.version > newest),
+        if newest == 0 or newest < self._history_start:
+            return self._snapshot(learned_before)
+        missing = sorted(
+            (item for item in self._entries.values() if item.entry.version > newest),
             key=lambda item: item.entry.version,
         )
-        told = []
-        for item in lacking:
-            if item.since > known_before:
+        sent = []
+        for item in missing:
+            if item.learned_at > learned_before:
                 break
-            told.append(item.entry)
-        if not told:
+            sent.append(item.entry)
+        if not sent:
             return None
-        return TableUpdate(self.table, tuple(told), told[-1].version)
+        return TableUpdate(self.table, tuple(sent), sent[-1].version)
 
-    def _whole(self, known_before: identity.Seconds) -> TableUpdate | None:
-        live = [item for item in self._known.values() if item.entry.value is not None]
-        if any(item.since > known_before for item in live):
+    def _snapshot(self, learned_before: identity.Seconds) -> TableUpdate | None:
+        live = [item for item in self._entries.values() if item.entry.value is not None]
+        if any(item.learned_at > learned_before for item in live):
             return None
         entries = tuple(item.entry for item in live)
         return TableUpdate(self.table, entries, self.newest, whole=True)
 
-    def _take(self, entry: Entry, source: Source, now: identity.Seconds) -> None:
-        known = self._known.get(entry.key)
-        if known is not None and known.entry.version >= entry.version:
+    def _apply(self, entry: Entry, source: Source, now: identity.Seconds) -> None:
+        held = self._entries.get(entry.key)
+        if held is not None and held.entry.version >= entry.version:
             return
-        was_live = known is not None and known.entry.value is not None
-        since = now if source is Source.STORE else identity.NEVER
-        self._known[entry.key] = _Known(entry, since)
+        was_live = held is not None and held.entry.value is not None
+        learned_at = now if source is Source.STORE else identity.NEVER
+        self._entries[entry.key] = _LearnedEntry(entry, learned_at)
         self.newest = max(self.newest, entry.version)
         if entry.value is not None:
             self._dropped.pop(entry.key, None)
             row = rows.StoredRow(self.table, "", entry.key, entry.value, entry.version)
             self._put(row, source)
             return
-        self._remember_dropped(entry)
+        self._record_dropped(entry)
         if was_live:
             self._remove(entry.key)
 
-    def _remember_dropped(self, entry: Entry) -> None:
+    def _record_dropped(self, entry: Entry) -> None:
         self._dropped.pop(entry.key, None)
         self._dropped[entry.key] = entry.version
         if len(self._dropped) <= MOST_DROPPED:
             return
         oldest = next(iter(self._dropped))
-        self._forgotten = max(self._forgotten, self._dropped.pop(oldest))
-        del self._known[oldest]
+        self._history_start = max(self._history_start, self._dropped.pop(oldest))
+        del self._entries[oldest]
 
     def _live_keys(self) -> set[str]:
-        return {key for key, item in self._known.items() if item.entry.value is not None}
+        return {key for key, item in self._entries.items() if item.entry.value is not None}
--- a/src/limedeck/store/rows.py
+++ b/src/limedeck/store/rows.py
@@ -1,4 +1,4 @@
-"""A store of rows that outlasts every node: conditional transactions and a feed of changes."""
+"""Interface of a store of rows that survives every node, with transactions and a feed of changes."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 @dataclass
 class StoreUnavailable(StoreError):
-    """There was no answer; a transaction may have been done, or may still be done.
+    """The store did not respond; a transaction may have been committed, or still may be.
 
     Parameters
     ----------
     reason
-        Type of the transport's error.
+        The underlying error.
     """
 
     reason: str
 
     def __str__(self) -> str:
-        return f"the store gave no answer: {self.reason}"
+        return f"no response from the store: {self.reason}"
 
 
 @dataclass
 class StoreRefused(StoreError):
-    """The store refused the call and did nothing; it is over its rate, down or closed to us."""
+    """The store refused the call and did nothing: rate limit, out of service or no access."""
 
     status: int
 
@@ -45,26 +45,26 @@
 
 @dataclass
 class StoreContended(StoreError):
-    """Other transactions were always faster; nothing was done."""
+    """Concurrent transactions won every attempt; nothing was written."""
 
     attempts: int
 
     def __str__(self) -> str:
-        return f"a transaction lost {self.attempts} races"
+        return f"transaction given up after {self.attempts} conflicts with concurrent transactions"
 
 
 @dataclass
 class StoreProtocolError(StoreError):
-    """The store's answer makes no sense."""
+    """The store's response is invalid."""
 
     problem: str
 
     def __str__(self) -> str:
-        return f"the store's answer cannot be read: {self.problem}"
+        return f"invalid response from the store: {self.problem}"
 
 
 class HistoryGone(StoreError):
-    """The feed cannot go on from this version; read the table whole."""
+    """The feed cannot continue from this version; the whole table has to be read again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
     Parameters
     ----------
     version
-        From one counter that rises with every transaction of the store.
+        Version of the transaction that wrote the row; the store has one counter for all tables.
     """
 
     table: str
@@ -86,23 +86,23 @@
 
 @dataclass
 class ConditionFailed(StoreError):
-    """A condition did not hold; nothing was written.
+    """A condition of a transaction was not met; nothing was written.
 
     Parameters
     ----------
     rows
-        The rows of the conditions as they are; absent ones are left out.
+        Current rows of the conditions; absent ones are left out.
     """
 
     rows: tuple[StoredRow, ...]
 
     def __str__(self) -> str:
-        return f"a condition did not hold; {len(self.rows)} of its rows exist"
+        return f"transaction condition not met; {len(self.rows)} rows of its conditions exist"
 
 
 @dataclass(frozen=True, slots=True)
 class RowKey:
-    """Names a row."""
+    """Identifies a row."""
 
     table: str
     part: str
@@ -127,12 +127,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRead:
-    """Rows of one part of a table at one moment.
+    """A consistent snapshot of the rows of one part of a table.
 
     Parameters
     ----------
     version
-        Newest version of the whole store at that moment.
+        Newest version of the whole store at the time of the read.
     store_time
         The store's steady clock, in seconds.
     """
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DroppedRow:
-    """A row that was dropped, by the transaction with this version."""
+    """A dropped row, and the version of the transaction that dropped it."""
 
     key: str
     version: int
@@ -152,16 +152,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChanges:
-    """What has changed in a table since a version.
+    """Changes of a table since a version.
 
     Parameters
     ----------
     rows
-        Changed rows, in order.
+        Changed rows, in the order of their versions.
     dropped
-        Rows that were dropped, in order.
+        Dropped rows, in the order of their versions.
     version
-        Where to go on from.
+        Version from which the next call continues.
     """
 
     rows: tuple[StoredRow, ...]
@@ -171,12 +171,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """A transaction was done.
+    """Result of a committed transaction.
 
     Parameters
     ----------
     version
-        Of all rows that it wrote.
+        Version of all rows that it wrote.
     store_time
         The store's steady clock, in seconds.
     """
@@ -190,28 +190,28 @@
 
     @abstractmethod
     async def read(self, table: str, part: str = "") -> TableRead:
-        """Read all rows of one part of a table at one moment."""
+        """Read a consistent snapshot of all rows of one part of a table."""
 
     @abstractmethod
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> WriteResult:
-        """Write all rows if all conditions hold.
+        """Write all rows atomically if all conditions are met.
 
         Raises
         ------
         ConditionFailed
-            Nothing was written.
+            A condition was not met; nothing was written.
         """
 
     @abstractmethod
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
-        """Wait until something changes in a table after a version, for at most `wait`.
+        """Return the changes of a table since a version; wait for one for at most `wait`.
 
         Raises
         ------
         HistoryGone
-            The store no longer knows what changed since then.
+            The store no longer keeps the changes since that version.
         """
 
     @abstractmethod
--- a/src/limedeck/store/table.py
+++ b/src/limedeck/store/table.py
@@ -1,4 +1,4 @@
-"""What limedeck needs of the platform: a transactional table, an object store, a machine list."""
+"""Interfaces of the platform's services: a transactional table, an object store, a machine list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Parameters
     ----------
     revision
-        Raised by the table with every write of the row; never `ABSENT`.
+        Increased by the table with every write of the row; never `ABSENT`.
     """
 
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """A row must be at this revision (`ABSENT`: must not exist) for a transaction to happen."""
+    """A transaction is done only if the row has this revision (`ABSENT`: does not exist)."""
 
     key: str
     revision: int
@@ -43,7 +43,7 @@
 
 
 class MachineState(enum.Enum):
-    """What the platform says of a machine."""
+    """State of a machine according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """A machine on the platform's list; it may have left already, never the other way round."""
+    """A machine on the platform's list, which may have left already."""
 
     machine_id: str
     address: str
@@ -62,27 +62,27 @@
 class TransactionalTable(ABC):
     """Rows with revisions, written by compare-and-set over several rows.
 
-    Every method raises `PlatformUnavailable` when there was no answer (a transaction may then
+    Every method raises `PlatformUnavailable` when there was no response (a transaction may then
     have taken effect), `PlatformRateLimited` when the call was refused because of its rate, and
-    `PlatformProtocolError` when the answer makes no sense.
+    `PlatformProtocolError` when the response is invalid.
     """
 
     @abstractmethod
     async def read(self, keys: Sequence[str]) -> dict[str, Row]:
-        """Read these rows at one moment; rows that do not exist are left out."""
+        """Read a consistent snapshot of these rows; rows that do not exist are left out."""
 
     @abstractmethod
     async def read_prefix(self, prefix: str, keys: Sequence[str] = ()) -> list[Row]:
-        """Read all rows whose key starts so, and these rows, at one moment."""
+        """Read a consistent snapshot of all rows whose key has the prefix, and of these rows."""
 
     @abstractmethod
     async def transact(self, conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
-        """Do all writes if all conditions hold, and return the revision of the written rows.
+        """Do all writes if all conditions are met, and return the revision of the written rows.
 
         Raises
         ------
         TransactionConflict
-            A condition did not hold; nothing was written.
+            A condition was not met; nothing was written.
         """
 
     @abstractmethod
@@ -95,15 +95,15 @@
 
     @abstractmethod
     async def put(self, name: str, content: bytes) -> None:
-        """Store an object in place of one of the same name."""
+        """Store an object, replacing one of the same name."""
 
     @abstractmethod
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None when there is none of this name."""
+        """Return an object, or None if there is none of this name."""
 
 
 class MachineList(ABC):
-    """The machines that the platform knows; it lags, but drops no machine that still runs."""
+    """The machines that the platform knows; it may lag, but omits no machine that still runs."""
 
     @abstractmethod
     async def machines(self) -> list[Machine]:
--- a/src/limedeck/store/table_http.py
+++ b/src/limedeck/store/table_http.py
@@ -27,7 +27,7 @@
     Write,
 )
 
-DEFAULT_RETRY_AFTER = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 Model = TypeVar("Model", bound=BaseModel)
 
 
@@ -40,7 +40,7 @@
 
 
 class ReadBody(BaseModel):
-    """Answer to a read."""
+    """Response to a read."""
 
     rows: list[RowBody]
 
@@ -74,13 +74,13 @@
 
 
 class TransactBody(BaseModel):
-    """Answer to a transaction that happened."""
+    """Response to a committed transaction."""
 
     revision: int
 
 
 class ConflictBody(BaseModel):
-    """Answer to a transaction that did not happen."""
+    """Response to a transaction of which a condition was not met."""
 
     key: str
     expected: int
@@ -97,13 +97,13 @@
 
 
 class MachinesBody(BaseModel):
-    """Answer of the machine list."""
+    """Response of the machine list."""
 
     machines: list[MachineBody]
 
 
 class PlatformConnection:
-    """Sends requests to one of the platform's services and sorts its failures by type."""
+    """Sends requests to one of the platform's services and raises its failures as typed errors."""
 
     def __init__(self, service: str, url: str, timeout: float) -> None:
         self.service = service
@@ -112,7 +112,7 @@
         )
 
     async def request(self, method: str, path: str, content: bytes | None = None) -> httpx.Response:
-        """Send a request; a refusal by rate and a missing answer are raised."""
+        """Send a request; raise an error if it is rate-limited, gets no response or a 5xx status."""
         try:
             response = await self._client.request(method, path, content=content)
         except httpx.HTTPError as error:
@@ -124,7 +124,7 @@
         return response
 
     def parse(self, model: type[Model], response: httpx.Response) -> Model:
-        """Read a JSON body."""
+        """Parse a JSON body."""
         if not response.is_success and response.status_code != httpx.codes.CONFLICT:
             raise PlatformProtocolError(self.service, f"status {response.status_code}")
         try:
@@ -229,6 +229,6 @@
 
 def _retry_after(response: httpx.Response) -> float:
     try:
-        return float(response.headers.get("retry-after", DEFAULT_RETRY_AFTER))
+        return float(response.headers.get("retry-after", DEFAULT_RETRY_AFTER_SECONDS))
     except ValueError:
-        return DEFAULT_RETRY_AFTER
+        return DEFAULT_RETRY_AFTER_SECONDS
--- a/src/limedeck/store/table_rows.py
+++ b/src/limedeck/store/table_rows.py
@@ -1,9 +1,10 @@
-"""Rows with one counter, a feed and a clock over a transactional table that has none of them.
+"""A row store with one version counter, a feed and a clock on top of a table that has none of them.
 
-A transactional table raises a row's revision when that row is written, tells nobody of changes and
-has no clock. So each transaction here also writes one row, the head, under a condition on its
-revision: it holds the version of all, that of each table, and how far the clock had come. What that
-costs is that transactions wait for each other, and that a table is read whole after it changed.
+A transactional table increases a row's revision when that row is written, does not announce
+changes and has no clock. So each transaction here also writes one row, the head, under a condition
+on its revision. The head holds the version of the store, that of each table, and the time of the
+clock. The price is that transactions run one after the other, and that readers of the feed read
+the whole table after a change.
 """
 
 from __future__ import annotations
@@ -48,34 +49,34 @@
 
 HEAD_KEY = "row-head"
 ROW_PREFIX = "row/"
-ATTEMPTS = 12
-"""Transactions that meet are tried so often; with `CONTENTION_PAUSE`, for a second and a half at
-most, in which a node waits as it does for a slow store. An estimate."""
+MAX_TRANSACTION_ATTEMPTS = 12
+"""Attempts at a transaction that conflicts with others. With `CONTENTION_PAUSE`, their pauses add up
+to a second and a half at most, in which a node waits as it does for a slow store."""
 CONTENTION_PAUSE: Seconds = 0.02
-"""Longest pause after the first lost race; one more of them after each further one."""
+"""Longest pause after the first conflict; it grows by as much after each further one."""
 FEED_INTERVAL: Seconds = 0.2
-"""Between two looks at the head while waiting for a change: a tenth of the time in which a changed
-configuration is to be in force everywhere. Each costs a call that reads one row."""
-DROPS_KEPT = 100
-"""Dropped rows of a table that the feed can tell of; who is further behind reads the table whole.
-Each is a row that every reading of the table brings along."""
+"""Time between two reads of the head while waiting for a change: a tenth of the time within which a
+changed configuration has to be in force at all nodes. Each is a call that reads one row."""
+MAX_DROPPED_ROWS = 100
+"""Dropped rows of a table that stay in the feed; a reader that is further behind has to read the
+whole table. Each read of the table also transfers all of them."""
 TOO_MANY_REQUESTS = 429
 Record = TypeVar("Record", bound=msgspec.Struct)
 
 
 class _Head(msgspec.Struct):
-    """What all transactions write.
+    """The row that every transaction writes.
 
     Parameters
     ----------
     version
-        Of the newest transaction.
+        Version of the newest transaction.
     time
-        The clock at that transaction, in seconds.
+        Time of the shared clock at that transaction, in seconds.
     tables
-        Version of the newest transaction that wrote rows of a table.
+        Version of the newest transaction that wrote rows of a table, by table.
     forgotten
-        The feed of a table knows no drops up to this version.
+        Version up to which the feed of a table may lack dropped rows, by table.
     """
 
     version: int = ABSENT
@@ -85,7 +86,7 @@
 
 
 class _Content(msgspec.Struct):
-    """A row's value and version; without a value it was dropped."""
+    """A row's value and version; None as the value marks a dropped row."""
 
     version: int
     value: bytes | None
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """Rows at one moment, dropped ones among them, and the head's revision in the table."""
+    """Rows as of one moment, including dropped ones, and the head with its revision in the table."""
 
     head: _Head
     revision: int
@@ -101,31 +102,31 @@
 
 
 class ObservedClock:
-    """A clock that all users of a store share, carried on by whoever writes.
+    """A clock that all users of a store share, advanced by each transaction.
 
-    It never runs ahead of the fastest user's own clock, and is behind the store's by the time that
-    nobody wrote or looked: an age told by it is never too high.
+    It never runs faster than the fastest user's own clock, and may miss time in which nobody read
+    or wrote the store. So an age taken from it is never too high.
     """
 
     def __init__(self) -> None:
-        self._seen: Seconds = NEVER
-        self._seen_at: Seconds = 0.0
+        self._store_time: Seconds = NEVER
+        self._recorded_at: Seconds = 0.0
 
-    def note(self, seen: Seconds, now: Seconds) -> None:
-        """The clock had come so far when the store was last written."""
-        if seen > self.read(now):
-            self._seen = seen
-            self._seen_at = now
+    def record(self, store_time: Seconds, now: Seconds) -> None:
+        """Record the clock's time at the newest transaction, which was read at `now`."""
+        if store_time > self.read(now):
+            self._store_time = store_time
+            self._recorded_at = now
 
     def read(self, now: Seconds) -> Seconds:
-        """Return what it shows, in seconds; `NEVER` before anything was noted."""
-        return self._seen + (now - self._seen_at)
+        """Return the clock's time, in seconds; `NEVER` before any was recorded."""
+        return self._store_time + (now - self._recorded_at)
 
 
 class TableRowStore(RowStore):
-    """A `RowStore` over a transactional table; all who write these rows must do it by one of these.
+    """A `RowStore` over a transactional table.
 
-    The table is closed with it.
+    All writers of these rows must use this class. Closing the store closes the table.
     """
 
     def __init__(self, table: TransactionalTable) -> None:
@@ -141,23 +142,23 @@
     async def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> WriteResult:
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_TRANSACTION_ATTEMPTS):
             found = await self._read_rows([item.row for item in conditions])
             _check(conditions, found)
             head = _next_head(found.head, writes, self._clock.read(steady_clock()))
-            changed = [_write(item, head.version) for item in writes]
-            forgotten = await self._forget_drops(head, writes)
+            written_rows = [_write(item, head.version) for item in writes]
+            pruned = await self._prune_dropped_rows(head, writes)
             try:
                 with _typed_errors():
                     await self._table.transact(
                         [Condition(HEAD_KEY, found.revision)],
-                        [Write(HEAD_KEY, msgspec.json.encode(head)), *forgotten, *changed],
+                        [Write(HEAD_KEY, msgspec.json.encode(head)), *pruned, *written_rows],
                     )
             except TransactionConflict:
                 await anyio.sleep(self._random.uniform(0.0, CONTENTION_PAUSE * (attempt + 1)))
                 continue
             return WriteResult(head.version, self._clock.read(steady_clock()))
-        raise StoreContended(ATTEMPTS)
+        raise StoreContended(MAX_TRANSACTION_ATTEMPTS)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
         until = steady_clock() + wait
@@ -184,8 +185,11 @@
         dropped = [DroppedRow(row.key, item.version) for row, item in newer if item.value is None]
         return TableChanges(tuple(_stored(dict(newer))), tuple(dropped), found.head.version)
 
-    async def _forget_drops(self, head: _Head, writes: Sequence[RowWrite]) -> list[Write]:
-        """Remove what was dropped long ago from tables of which rows are dropped now."""
+    async def _prune_dropped_rows(self, head: _Head, writes: Sequence[RowWrite]) -> list[Write]:
+        """Return writes that remove the oldest dropped rows beyond the number kept.
+
+        Only tables of which `writes` drops rows are pruned; `head` records up to which version.
+        """
         removed = []
         for table in {item.row.table for item in writes if item.value is None}:
             found = await self._read_prefix(_prefix(table))
@@ -195,7 +199,7 @@
                 for row, content in found.rows.items()
                 if content.value is None and row not in written
             )
-            for version, key in dropped[: max(len(dropped) - DROPS_KEPT, 0)]:
+            for version, key in dropped[: max(len(dropped) - MAX_DROPPED_ROWS, 0)]:
                 removed.append(Write(key, None))
                 head.forgotten[table] = version
         return removed
@@ -218,12 +222,12 @@
                 head, revision = _decoded(row, _Head), row.revision
             else:
                 contents[_row_key(row.key)] = _decoded(row, _Content)
-        self._clock.note(head.time, steady_clock())
+        self._clock.record(head.time, steady_clock())
         return _Snapshot(head, revision, contents)
 
 
 def _check(conditions: Iterable[RowCondition], found: _Snapshot) -> None:
-    """Raise `ConditionFailed` if a condition does not hold."""
+    """Raise `ConditionFailed` if a condition is not met."""
     for condition in conditions:
         content = found.rows.get(condition.row)
         exists = content is not None and content.value is not None
@@ -232,7 +236,7 @@
 
 
 def _check_history(head: _Head, table: str, after: int) -> None:
-    """Raise `HistoryGone` if it is not known any more what changed since a version."""
+    """Raise `HistoryGone` if the changes since a version are no longer complete."""
     if not head.forgotten.get(table, ABSENT) <= after <= head.version:
         raise HistoryGone
 
@@ -248,7 +252,7 @@
 
 
 def _stored(rows: dict[RowKey, _Content]) -> Iterator[StoredRow]:
-    """Rows that were not dropped."""
+    """Yield the rows that were not dropped."""
     for row, content in rows.items():
         if content.value is not None:
             yield StoredRow(row.table, row.part, row.key, content.value, content.version)
@@ -265,7 +269,7 @@
 def _row_key(key: str) -> RowKey:
     names = key.removeprefix(ROW_PREFIX).split("/")
     if len(names) != 3:
-        raise StoreProtocolError(f"{key} names no row")
+        raise StoreProtocolError(f"{key} is not the key of a row")
     return RowKey(*(unquote(name) for name in names))
 
 
@@ -278,7 +282,7 @@
 
 @contextmanager
 def _typed_errors() -> Iterator[None]:
-    """Raise what a table raises as a `StoreError`, but lost races."""
+    """Convert the table's errors to `StoreError`, except `TransactionConflict`."""
     try:
         yield
     except TransactionConflict:
