--- a/src/limedeck/platform/headers.py
+++ b/src/limedeck/platform/headers.py
@@ -24,7 +24,7 @@
 USUAL_SLOWDOWN_PERCENT = 100.0
 MIN_LOAD_FIELDS = 3
 KEY_COUNT = 65_536
-MILLISECONDS_PER_SECOND = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class PlatformProtocol(CallerProtocol):
@@ -38,14 +38,14 @@
 
     def time_left(self, headers: dict[bytes, bytes]) -> Seconds | None:
         value = _number(headers.get(DEADLINE))
-        return None if value is None else value / MILLISECONDS_PER_SECOND
+        return None if value is None else value / MS_PER_SECOND
 
     def key_position(self, headers: dict[bytes, bytes]) -> int | None:
         value = _number(headers.get(KEY))
         return int(value) if value is not None and value < KEY_COUNT else None
 
     def attempt_headers(self, instance: str, time_left: Seconds) -> Headers:
-        left = max(int(time_left * MILLISECONDS_PER_SECOND), 1)
+        left = max(int(time_left * MS_PER_SECOND), 1)
         return [(DEADLINE, b"%d" % left), (EXPECTED_INSTANCE, instance.encode())]
 
     def response_metadata(self, status: int, headers: Headers) -> ResponseMetadata:
@@ -101,4 +101,9 @@
         return None
     slowdown = parts[MIN_LOAD_FIELDS] if len(parts) > MIN_LOAD_FIELDS else None
     # The first fields count even if a later one cannot be parsed.
-    return LoadReport(int(running), int(waiting), int(slots), (slowdown or USUAL_SLOWDOWN_PERCENT) / USUAL_SLOWDOWN_PERCENT)
+    return LoadReport(
+        int(running),
+        int(waiting),
+        int(slots),
+        (slowdown or USUAL_SLOWDOWN_PERCENT) / USUAL_SLOWDOWN_PERCENT,
+    )
--- a/src/limedeck/platform/store.py
+++ b/src/limedeck/platform/store.py
@@ -29,7 +29,7 @@
     WriteResult,
 )
 
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_SECOND = 1000
 DEAD_PEER_OPTIONS = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -94,9 +94,9 @@
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> WriteResult:
         body = {
-            "expected_revision": [{**_key_fields(c.row), "ver": c.version} for c in conditions],
-            "put": [{**_key_fields(w.row), "value": w.value} for w in writes if w.value is not None],
-            "remove": [_key_fields(w.row) for w in writes if w.value is None],
+            "expected_revision": [{**_row_id(c.row), "ver": c.version} for c in conditions],
+            "put": [{**_row_id(w.row), "value": w.value} for w in writes if w.value is not None],
+            "remove": [_row_id(w.row) for w in writes if w.value is None],
         }
         response = await self._call("POST", "/v1/rows-tx", {}, msgspec.json.encode(body))
         found = _decoded(response)
@@ -105,7 +105,7 @@
         return WriteResult(found.ver, found.now_s)
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableChanges:
-        query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MILLISECONDS_PER_SECOND))}
+        query = {"table": table, "after": str(after), "wait_ms": str(int(wait * MS_PER_SECOND))}
         response = await self._call("GET", "/v1/rows-feed", query, timeout=wait + self._timeout)
         if response.status == HISTORY_GONE:
             raise HistoryGone
@@ -145,7 +145,7 @@
         return response
 
 
-def _key_fields(row: RowKey) -> dict[str, str]:
+def _row_id(row: RowKey) -> dict[str, str]:
     return {"table": row.table, "part": row.part, "key_file": row.key}
 
 
--- a/src/limedeck/store/__init__.py
+++ b/src/limedeck/store/__init__.py
@@ -1,1 +1,1 @@
-"""Stores whose data survives the loss of every node: interfaces, and one adapter per file."""
+"""Stores that outlast all nodes: interfaces, and one adapter per file."""
--- a/src/limedeck/store/feeds.py
+++ b/src/limedeck/store/feeds.py
@@ -19,15 +19,15 @@
 OBSERVER_COUNT = 2
 """Nodes besides the leader that keep feeds; a leader whose feed is dead finds that their tables are
 newer."""
-START_PATIENCE: identity.Seconds = 1.0
+INITIAL_STATUS_TIMEOUT: identity.Seconds = 1.0
 """How long a node that has just started waits for the leader's status before it keeps feeds."""
 STATUS_TIMEOUT: identity.Seconds = 0.7
 """Longest time between two statuses of the leader: more than one of its heartbeat intervals, less
 than two."""
-LEADER_STORE_SILENCE: identity.Seconds = 1.2
+MAX_LEADER_STORE_SILENCE: identity.Seconds = 1.2
 """A leader that the store has not confirmed for this long may miss changes."""
 MIN_FEED_TIME: identity.Seconds = 1.5
-"""Shortest time for which a node keeps feeds that it has resumed; longer than two of their calls."""
+"""Shortest time for which a node keeps resumed feeds; longer than two of their calls."""
 MAX_FEED_CALLS_PER_SECOND = 300.0
 """Calls for one table by all nodes together while each keeps feeds of its own; far below what any
 known store accepts. It slows down the feeds of more than 45 nodes."""
@@ -65,7 +65,7 @@
 
     def __init__(self, now: identity.Seconds, place: float = 0.0) -> None:
         self._place = place
-        self._status_valid_until = now + START_PATIENCE
+        self._status_valid_until = now + INITIAL_STATUS_TIMEOUT
         self._keeps_feeds_until: identity.Seconds = identity.NEVER
         self._is_observer = False
         self._node_count = 1
@@ -90,7 +90,7 @@
         """
         # Nodes resume feeds one after the other: if the store serves the first of them, these
         # update the others; if it serves none, it gets few calls.
-        max_silence = LEADER_STORE_SILENCE + staggering.delay(self._place, node_count)
+        max_silence = MAX_LEADER_STORE_SILENCE + staggering.delay(self._place, node_count)
         self._is_observer = observes
         self._node_count = node_count
         if leader_store_silence <= max_silence:
--- a/src/limedeck/store/rows.py
+++ b/src/limedeck/store/rows.py
@@ -1,4 +1,4 @@
-"""Interface of a store of rows that survives every node, with transactions and a feed of changes."""
+"""Interface of a row store that outlasts all nodes: transactions and a feed of changes."""
 
 from __future__ import annotations
 
--- a/src/limedeck/store/table.py
+++ b/src/limedeck/store/table.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """A machine on the platform's list, which may have left already."""
+    """A machine on the platform's list; it may have left already, but none that runs is missing."""
 
     machine_id: str
     address: str
--- a/src/limedeck/store/table_http.py
+++ b/src/limedeck/store/table_http.py
@@ -112,7 +112,7 @@
         )
 
     async def request(self, method: str, path: str, content: bytes | None = None) -> httpx.Response:
-        """Send a request; raise an error if it is rate-limited, gets no response or a 5xx status."""
+        """Send a request; raise an error if it is rate-limited, fails or gets a 5xx status."""
         try:
             response = await self._client.request(method, path, content=content)
         except httpx.HTTPError as error:
--- a/src/limedeck/store/table_rows.py
+++ b/src/limedeck/store/table_rows.py
@@ -50,8 +50,8 @@
 HEAD_KEY = "row-head"
 ROW_PREFIX = "row/"
 MAX_TRANSACTION_ATTEMPTS = 12
-"""Attempts at a transaction that conflicts with others. With `CONTENTION_PAUSE`, their pauses add up
-to a second and a half at most, in which a node waits as it does for a slow store."""
+"""Attempts at a transaction that conflicts with others. With `CONTENTION_PAUSE`, the pauses between
+them last a second and a half at most, in which a node waits as it does for a slow store."""
 CONTENTION_PAUSE: Seconds = 0.02
 """Longest pause after the first conflict; it grows by as much after each further one."""
 FEED_INTERVAL: Seconds = 0.2
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """Rows as of one moment, including dropped ones, and the head with its revision in the table."""
+    """Rows as of one moment, including dropped ones, and the head with its revision."""
 
     head: _Head
     revision: int
--- a/tests/contract/row_stores.py
+++ b/tests/contract/row_stores.py
@@ -1,4 +1,4 @@
-"""Stand-ins of both stores of rows, served over HTTP, for tests that hold for either."""
+"""Stand-ins of both row stores, served over HTTP, for tests that run against either."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class ServedStore(ABC):
-    """A store that is served, with faults."""
+    """A stand-in of a store that injects faults."""
 
     @asynccontextmanager
     async def connected(self) -> AsyncIterator[RowStore]:
-        """Serve it, and return a client."""
+        """Serve the store, and yield a client of it."""
         async with served(self.application()) as address:
             store = self.client(address)
             yield store
@@ -36,19 +36,19 @@
 
     @abstractmethod
     def application(self) -> Starlette:
-        """What is served."""
+        """Return the application of the store."""
 
     @abstractmethod
     def client(self, address: str) -> RowStore:
-        """Return an adapter that speaks to it."""
+        """Return a client for the store at an address."""
 
     @abstractmethod
-    def lose_next_answer(self) -> None:
-        """The next transaction is done, and nobody hears of it."""
+    def lose_next_response(self) -> None:
+        """Do the next transaction, but send no response."""
 
     @abstractmethod
     def refuse_next_call(self) -> None:
-        """The next call is refused."""
+        """Refuse the next call."""
 
 
 class PlatformRows(ServedStore):
@@ -63,7 +63,7 @@
     def client(self, address: str) -> RowStore:
         return PlatformStore(address, TIMEOUT)
 
-    def lose_next_answer(self) -> None:
+    def lose_next_response(self) -> None:
         self.stand_in.faults.append(Fault.LOSE_ANSWER)
 
     def refuse_next_call(self) -> None:
@@ -82,7 +82,7 @@
     def client(self, address: str) -> RowStore:
         return TableRowStore(HttpTransactionalTable(f"http://{address}", TIMEOUT))
 
-    def lose_next_answer(self) -> None:
+    def lose_next_response(self) -> None:
         self.server.faults.lost_answers = 1
 
     def refuse_next_call(self) -> None:
@@ -91,15 +91,15 @@
 
 @asynccontextmanager
 async def served(application: Starlette) -> AsyncIterator[str]:
-    """Serve an application at an address of its own."""
+    """Serve an application on a free local port, and yield its address."""
     listener = open_listener("127.0.0.1:0")
     port = listener.getsockname()[1]
 
-    class Own(Config):
+    class ListenerConfig(Config):
         def create_sockets(self) -> Sockets:
             return Sockets([], [listener], [])
 
-    config = Own()
+    config = ListenerConfig()
     config.graceful_timeout = 5.0
     config.errorlog = None
     stop = anyio.Event()
--- a/tests/contract/test_platform_formats.py
+++ b/tests/contract/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""The users' rows, headers and orders, as the product's own types."""
+"""Translation of the users' rows, headers and orders into limedeck's own types."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 }
 
 
-def test_a_configuration() -> None:
+def test_read_configuration() -> None:
     found = read_configuration(json.dumps(CONFIGURATION).encode())
     assert found.version == 7
     first, second = found.routes
@@ -82,12 +82,12 @@
         json.dumps({**CONFIGURATION, "backends": None}).encode(),
     ],
 )
-def test_a_configuration_that_cannot_be_read_has_a_type(value: bytes) -> None:
+def test_an_invalid_configuration_raises_a_protocol_error(value: bytes) -> None:
     with pytest.raises(PlatformProtocolError):
         read_configuration(value)
 
 
-def test_a_back_end() -> None:
+def test_read_backend() -> None:
     found = read_backend("i-1", json.dumps(SERVER).encode())
     assert (found.backend_id, found.service, found.address, found.zone) == (
         "i-1",
@@ -98,20 +98,20 @@
     assert (found.slots, found.draining, found.warmup) == (2, True, 1.5)
 
 
-def test_an_entry_that_cannot_be_read_has_a_type() -> None:
+def test_an_invalid_entry_raises_a_protocol_error() -> None:
     with pytest.raises(PlatformProtocolError):
         read_backend("i-1", b'{"address": 5}')
 
 
-def test_a_back_end_that_starts_again_under_its_id_is_another_one() -> None:
-    lives = [
+def test_a_restarted_back_end_gets_another_id() -> None:
+    incarnations = [
         read_backend("i-1", json.dumps({**SERVER, "born": born}).encode()) for born in (17, 18)
     ]
-    assert lives[0].backend_id != lives[1].backend_id
-    assert {life.name for life in lives} == {"i-1"}
+    assert incarnations[0].backend_id != incarnations[1].backend_id
+    assert {incarnation.name for incarnation in incarnations} == {"i-1"}
 
 
-STRANGE = [
+INVALID_SERVERS = [
     b"",
     b"\xff\xfe",
     b"null",
@@ -138,8 +138,8 @@
 ]
 
 
-@pytest.mark.parametrize("value", STRANGE)
-def test_an_entry_of_another_writer_names_no_back_end(value: bytes) -> None:
+@pytest.mark.parametrize("value", INVALID_SERVERS)
+def test_an_entry_with_a_missing_or_invalid_field_is_rejected(value: bytes) -> None:
     with pytest.raises(PlatformProtocolError):
         read_backend("i-1", value)
 
@@ -164,7 +164,7 @@
     )
 )
 @settings(max_examples=300, derandomize=True, deadline=None)
-def test_whatever_an_entry_holds_it_is_read_or_refused(value: bytes) -> None:
+def test_an_arbitrary_entry_is_read_or_rejected(value: bytes) -> None:
     with contextlib.suppress(PlatformProtocolError):
         found = read_backend("i-1", value)
         assert found.slots > 0
@@ -182,7 +182,7 @@
         ({}, None, None),
     ],
 )
-def test_a_requests_headers(
+def test_request_headers(
     headers: dict[bytes, bytes], time_left: float | None, position: int | None
 ) -> None:
     protocol = PlatformProtocol()
@@ -190,7 +190,7 @@
     assert protocol.key_position(headers) == position
 
 
-def test_an_attempts_headers_tell_what_is_left_and_who_is_meant() -> None:
+def test_attempt_headers_state_the_time_left_and_the_instance() -> None:
     added = dict(PlatformProtocol().attempt_headers("i-1", 0.1239))
     assert added == {b"x-deadline-ms": b"123", b"x-expect-instance": b"i-1"}
 
@@ -207,16 +207,16 @@
         (429, [(b"x-not-executed", b"1")], True, False, True),
     ],
 )
-def test_an_answers_head(
+def test_response_metadata(
     status: int,
     headers: list[tuple[bytes, bytes]],
     not_run: bool,
     wrong: bool,
     is_from_backend: bool,
 ) -> None:
-    facts = PlatformProtocol().response_metadata(status, [(b"x-attempt-id", b"a"), *headers])
-    assert facts.request_id == b"a"
-    assert (facts.not_run, facts.wrong_instance, facts.is_from_backend) == (
+    metadata = PlatformProtocol().response_metadata(status, [(b"x-attempt-id", b"a"), *headers])
+    assert metadata.request_id == b"a"
+    assert (metadata.not_run, metadata.wrong_instance, metadata.is_from_backend) == (
         not_run,
         wrong,
         is_from_backend,
@@ -238,10 +238,10 @@
         (b"", None),
     ],
 )
-def test_a_load_report(value: bytes, load: LoadReport | None) -> None:
-    facts = PlatformProtocol().response_metadata(200, [(b"x-upstream-load", value)])
-    assert facts.load == load
-    assert facts.unreadable_load == (load is None)
+def test_load_report(value: bytes, load: LoadReport | None) -> None:
+    metadata = PlatformProtocol().response_metadata(200, [(b"x-upstream-load", value)])
+    assert metadata.load == load
+    assert metadata.unreadable_load == (load is None)
 
 
 def test_orders() -> None:
@@ -288,16 +288,16 @@
         ([b"9" * 10_240], None, True),
     ],
 )
-def test_limits_of_any_spelling(values: list[bytes], limit: float | None, unreadable: bool) -> None:
+def test_limit_header(values: list[bytes], limit: float | None, unreadable: bool) -> None:
     headers = [(b"x-attempt-id", b"1"), *((b"server-limit", value) for value in values)]
-    facts = PlatformProtocol().response_metadata(200, headers)
-    assert (facts.limit, facts.unreadable_limit) == (limit, unreadable)
+    metadata = PlatformProtocol().response_metadata(200, headers)
+    assert (metadata.limit, metadata.unreadable_limit) == (limit, unreadable)
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=3))
-def test_no_bytes_in_a_limit_make_a_rate_that_is_none(values: list[bytes]) -> None:
-    facts = PlatformProtocol().response_metadata(
+def test_an_arbitrary_limit_is_a_finite_rate_or_unreadable(values: list[bytes]) -> None:
+    metadata = PlatformProtocol().response_metadata(
         200, [(b"server-limit", value) for value in values]
     )
-    assert facts.unreadable_limit == (facts.limit is None)
-    assert facts.limit is None or 0.0 <= facts.limit < 1e10
+    assert metadata.unreadable_limit == (metadata.limit is None)
+    assert metadata.limit is None or 0.0 <= metadata.limit < 1e10
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter of the users' store: what only its protocol has (others: test_row_stores.py)."""
+"""Adapter of the users' store: what is specific to its protocol (see also test_row_stores.py)."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         await store.aclose()
 
 
-async def test_a_long_table_is_read_page_by_page() -> None:
+async def test_a_long_table_is_read_in_pages() -> None:
     stand_in = RowStoreStandIn(WORDS, page=3)
     for number in range(10):
         stand_in.put("t", f"k{number}", b"x")
@@ -43,7 +43,7 @@
         assert len((await store.read("t")).rows) == 10
 
 
-async def test_a_forgotten_history_is_said() -> None:
+async def test_a_version_before_the_history_raises_history_gone() -> None:
     stand_in = RowStoreStandIn(WORDS, version=9, forgotten=5)
     async with connected(stand_in) as store:
         with pytest.raises(HistoryGone):
@@ -59,7 +59,7 @@
         (Fault.NONSENSE, StoreProtocolError),
     ],
 )
-async def test_each_failure_has_its_type(fault: Fault, error: type[StoreError]) -> None:
+async def test_each_failure_raises_its_error(fault: Fault, error: type[StoreError]) -> None:
     stand_in = RowStoreStandIn(WORDS)
     stand_in.put("t", "k", b"x")
     async with connected(stand_in) as store:
--- a/tests/unit/faulty_table.py
+++ b/tests/unit/faulty_table.py
@@ -1,4 +1,4 @@
-"""A table in memory whose calls fail as a test says."""
+"""An in-memory table with injected faults."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class FaultyTable(TransactionalTable):
-    """A table in memory whose calls fail as the test says.
+    """An in-memory table whose calls fail as a test demands.
 
     Parameters
     ----------
     lost_answers
-        So many transactions take effect without an answer.
+        Number of next transactions that take effect but get no response.
     lost_calls
-        So many transactions neither take effect nor are answered.
+        Number of next transactions that neither take effect nor get a response.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         if self.lost_calls > 0:
             self.lost_calls -= 1
             raise PlatformUnavailable("table", "lost")
-        # Others may go first between a caller's read and its transaction.
+        # Other tasks can write between a caller's read and its transaction.
         await anyio.lowlevel.checkpoint()
         revision = self.rows.transact(conditions, writes)
         if self.lost_answers > 0:
--- a/tests/unit/test_platform_names.py
+++ b/tests/unit/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The users' platform is known to one small package only."""
+"""Only one small package depends on the users' platform."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 SOURCES = Path(__file__).parents[2] / "src"
 ADAPTER = SOURCES / "limedeck" / "platform"
-LARGEST_ADAPTER = 500
+MAX_ADAPTER_LINES = 500
 NAMES_TEXT = """
 x-attempt-id x-deadline-ms x-upstream-signature x-expect-instance x-upstream-load
 x-not-executed x-instance-id x-shard-key x-handover rows-tx rows-get rows-feed rows-parts
@@ -17,7 +17,7 @@
 has_more target_version hold_s traffic_split target_latency_s route_type warmup_s_time
 ephemeral_ports limedeck_node_file control_plane server-limit server-leaving warmup_per_s
 """
-"""What only the platform calls so; `expected_revision` is also the operators' calls' own word."""
+"""Names that only the platform uses; `expected_revision` is also in the operators' calls."""
 NAMES = NAMES_TEXT.split()
 
 
@@ -27,7 +27,7 @@
             yield file
 
 
-def test_no_name_of_the_platform_stands_outside_the_adapter() -> None:
+def test_names_of_the_platform_appear_only_in_the_adapter() -> None:
     found = []
     for file in python_files():
         text = file.read_text().lower()
@@ -37,7 +37,7 @@
     assert found == []
 
 
-def test_only_the_wiring_imports_the_adapter() -> None:
+def test_only_the_server_imports_the_adapter() -> None:
     importers = set()
     for file in python_files():
         for node in ast.walk(ast.parse(file.read_text())):
@@ -53,4 +53,4 @@
 
 def test_the_adapter_is_small() -> None:
     lines = sum(len(file.read_text().splitlines()) for file in ADAPTER.glob("*.py"))
-    assert lines < LARGEST_ADAPTER
+    assert lines < MAX_ADAPTER_LINES
--- a/tests/unit/test_retry_after.py
+++ b/tests/unit/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Parsing of Retry-After and Server-Leaving in the answers of back ends."""
+"""Parsing of Retry-After and Server-Leaving in the responses of back ends."""
 
 from __future__ import annotations
 
@@ -61,11 +61,11 @@
     assert retry_after.requested_backoff(status, [(b"retry-after", b"3")]) == delay
 
 
-def test_answer_without_the_header_requests_no_backoff() -> None:
+def test_response_without_the_header_requests_no_backoff() -> None:
     assert retry_after.requested_backoff(503, [(b"date", DATE)]) is None
 
 
-def test_http_date_counts_from_the_date_of_the_answer() -> None:
+def test_http_date_counts_from_the_date_of_the_response() -> None:
     headers = [(b"date", DATE), (b"retry-after", LATER)]
     assert retry_after.requested_backoff(503, headers) == 3.0
 
--- a/tests/unit/test_table_rows.py
+++ b/tests/unit/test_table_rows.py
@@ -1,4 +1,4 @@
-"""Rows over a transactional table: races, the clock that users share, drops of long ago."""
+"""Rows on top of a transactional table: conflicts, the shared clock, pruning of dropped rows."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 pytestmark = pytest.mark.anyio
 ROW = RowKey("t", "", "k")
 WRITERS = 4
-TIMES = 25
+WRITES_EACH = 25
 
 
 @pytest.fixture
@@ -33,8 +33,8 @@
     return "asyncio"
 
 
-async def add_one(store: TableRowStore) -> int:
-    """Count up under a condition, again until it is done."""
+async def increment(store: TableRowStore) -> int:
+    """Increment a counter under a condition; retry until the transaction is done."""
     while True:
         rows = (await store.read("t")).rows
         count = int(rows[0].value) if rows else 0
@@ -46,27 +46,27 @@
         return written.version
 
 
-async def test_transactions_that_meet_are_all_done_once_and_in_an_order(
+async def test_concurrent_transactions_are_each_done_once_with_a_version_of_their_own(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An adapter that trusted the rows' own revisions would give two transactions one version."""
+    """With the rows' own revisions as versions, two transactions could get the same version."""
     monkeypatch.setattr(table_rows, "CONTENTION_PAUSE", 0.0)
     table = FaultyTable()
     versions: list[int] = []
 
     async def count() -> None:
         store = TableRowStore(table)
-        for _ in range(TIMES):
-            versions.append(await add_one(store))
+        for _ in range(WRITES_EACH):
+            versions.append(await increment(store))
 
     async with anyio.create_task_group() as tasks:
         for _ in range(WRITERS):
             tasks.start_soon(count)
-    assert len(set(versions)) == WRITERS * TIMES
-    assert (await TableRowStore(table).read("t")).rows[0].value == b"%d" % (WRITERS * TIMES)
+    assert len(set(versions)) == WRITERS * WRITES_EACH
+    assert (await TableRowStore(table).read("t")).rows[0].value == b"%d" % (WRITERS * WRITES_EACH)
 
 
-async def test_writers_of_different_rows_get_different_versions() -> None:
+async def test_concurrent_writers_of_different_rows_get_different_versions() -> None:
     table = FaultyTable()
     versions: list[int] = []
 
@@ -80,8 +80,8 @@
     assert sorted(versions) == [1, 2, 3, 4, 5, 6]
 
 
-class BusyTable(FaultyTable):
-    """Somebody else is always faster."""
+class ConflictingTable(FaultyTable):
+    """A table in which another transaction always comes first."""
 
     async def transact(self, conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
         head = next(write for write in writes if write.key == table_rows.HEAD_KEY)
@@ -89,37 +89,39 @@
         return await super().transact(conditions, writes)
 
 
-async def test_a_transaction_that_loses_every_race_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_transaction_that_conflicts_at_every_attempt_raises_an_error(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(table_rows, "CONTENTION_PAUSE", 0.0)
     with pytest.raises(StoreContended):
-        await TableRowStore(BusyTable()).transact([], [RowWrite(ROW, b"1")])
+        await TableRowStore(ConflictingTable()).transact([], [RowWrite(ROW, b"1")])
 
 
-async def test_a_transaction_that_was_lost_on_its_way_is_not_done_later() -> None:
-    """Whoever wrote meanwhile has raised the head's revision."""
+async def test_a_delayed_transaction_is_rejected_after_a_newer_one() -> None:
+    """The newer transaction has increased the head's revision, on which the delayed one depends."""
     table = FaultyTable()
     store = TableRowStore(table)
     await store.transact([], [RowWrite(ROW, b"1")])
-    late: list[tuple[Sequence[Condition], Sequence[Write]]] = []
+    delayed: list[tuple[Sequence[Condition], Sequence[Write]]] = []
 
-    async def keep_back(conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
-        late.append((conditions, writes))
+    async def delay_transaction(conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
+        delayed.append((conditions, writes))
         raise StoreUnavailable("lost")
 
-    sound, table.transact = table.transact, keep_back  # type: ignore[method-assign]
+    original, table.transact = table.transact, delay_transaction  # type: ignore[method-assign]
     with pytest.raises(StoreUnavailable):
         await store.transact([], [RowWrite(ROW, b"2")])
-    table.transact = sound  # type: ignore[method-assign]
+    table.transact = original  # type: ignore[method-assign]
     await store.transact([], [RowWrite(RowKey("u", "", "x"), b"3")])
     with pytest.raises(Exception, match="row-head"):
-        await table.transact(*late[0])
+        await table.transact(*delayed[0])
     assert (await store.read("t")).rows[0].value == b"1"
 
 
-async def test_drops_of_long_ago_are_forgotten_and_the_feed_says_so(
+async def test_old_dropped_rows_are_pruned_and_the_feed_reports_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(table_rows, "DROPS_KEPT", 3)
+    monkeypatch.setattr(table_rows, "MAX_DROPPED_ROWS", 3)
     table = FaultyTable()
     store = TableRowStore(table)
     rows = [RowKey("t", "", f"k{number}") for number in range(8)]
@@ -128,30 +130,30 @@
         await store.transact([], [RowWrite(row, None)])
     with pytest.raises(HistoryGone):
         await store.changes("t", first, 0.0)
-    told = await store.changes("t", first + 4, 0.0)
-    assert [row.key for row in told.dropped] == ["k4", "k5", "k6", "k7"]
+    found = await store.changes("t", first + 4, 0.0)
+    assert [row.key for row in found.dropped] == ["k4", "k5", "k6", "k7"]
     assert len(table.rows.read([], table_rows.ROW_PREFIX)) == 4
 
 
-async def test_a_row_that_another_program_wrote_is_an_error_of_its_own() -> None:
+async def test_an_invalid_row_raises_a_protocol_error() -> None:
     table = FaultyTable()
     table.rows.transact([], [Write("row/t//k", b"{")])
     with pytest.raises(StoreProtocolError):
         await TableRowStore(table).read("t")
 
 
-def test_the_shared_clock_is_never_ahead_of_who_carried_it_on() -> None:
+def test_the_shared_clock_never_goes_back() -> None:
     clock = ObservedClock()
-    clock.note(100.0, 5.0)
+    clock.record(100.0, 5.0)
     assert clock.read(7.0) == 102.0
-    clock.note(101.0, 8.0)
+    clock.record(101.0, 8.0)
     assert clock.read(8.0) == 103.0
-    clock.note(110.0, 9.0)
+    clock.record(110.0, 9.0)
     assert clock.read(10.0) == 111.0
 
 
-async def test_what_was_written_long_before_anybody_looked_is_taken_for_new() -> None:
-    """An age that is told too low makes a node wait; too high, it would replace a sound leader."""
+async def test_the_age_of_a_row_is_counted_from_the_first_read() -> None:
+    """An age that is too low makes a node wait; one too high would replace a healthy leader."""
     table = FaultyTable()
     written = await TableRowStore(table).transact([], [RowWrite(ROW, b"1")])
     found = await TableRowStore(table).read("t")
