--- a/src/limedeck/store/__init__.py
+++ b/src/limedeck/store/__init__.py
@@ -1,1 +1,1 @@
-"""Stores that outlast every node: abstract classes, and one adapter a file."""
+"""Stores that outlast all nodes: interfaces, and one adapter per file."""
