--- a/src/limedeck/ownership/barriers.py
+++ b/src/limedeck/ownership/barriers.py
@@ -41,53 +41,53 @@
     """
 
     def __init__(self, key_positions: int, fences: FenceCounter) -> None:
-        self._last = key_positions - 1
+        self._last_position = key_positions - 1
         self._fences = fences
-        self._missing: dict[str, _Barrier] = {}
-        self._answered: dict[str, str] = {}
+        self._unconfirmed: dict[str, _Barrier] = {}
+        self._confirmed: dict[str, str] = {}
 
     def require(self, backend_ids: Collection[str]) -> None:
         """These back ends are new to this leader."""
         for backend_id in sorted(backend_ids):
-            self._missing.setdefault(backend_id, _Barrier())
+            self._unconfirmed.setdefault(backend_id, _Barrier())
 
-    def keep_only(self, listed: Collection[str]) -> None:
+    def retain(self, listed: Collection[str]) -> None:
         """All others are gone."""
-        for backend_id in [item for item in self._missing if item not in listed]:
-            del self._missing[backend_id]
-        for name in [name for name, item in self._answered.items() if item not in listed]:
-            del self._answered[name]
+        for backend_id in [item for item in self._unconfirmed if item not in listed]:
+            del self._unconfirmed[backend_id]
+        for name in [name for name, item in self._confirmed.items() if item not in listed]:
+            del self._confirmed[name]
 
-    def is_missing(self, backend_id: str) -> bool:
+    def is_unconfirmed(self, backend_id: str) -> bool:
         """Whether it may still carry out orders that were meant for a former life."""
-        return backend_id in self._missing
+        return backend_id in self._unconfirmed
 
     def is_replaced(self, backend_id: str) -> bool:
         """Whether a later life of it, which is listed, refuses what was meant for this one."""
         name, _ = split_incarnation_id(backend_id)
-        answered = self._answered.get(name)
-        return answered is not None and is_later_incarnation(answered, backend_id)
+        confirmed = self._confirmed.get(name)
+        return confirmed is not None and is_later_incarnation(confirmed, backend_id)
 
     def due(self, now: Seconds) -> list[Release]:
         """Return the orders that are to be sent now."""
         orders = []
-        for backend_id, barrier in self._missing.items():
+        for backend_id, barrier in self._unconfirmed.items():
             if barrier.is_pending or now < barrier.next_order:
                 continue
             barrier.fence = self._fences.next()
             barrier.is_pending = True
-            orders.append(Release(backend_id, 0, self._last, barrier.fence))
+            orders.append(Release(backend_id, 0, self._last_position, barrier.fence))
         return orders
 
-    def handle_answer(self, order: Release, done: bool, now: Seconds) -> bool:
+    def handle_response(self, order: Release, done: bool, now: Seconds) -> bool:
         """An order was answered, or had no answer in time; tell whether it was one of these."""
-        barrier = self._missing.get(order.backend_id)
+        barrier = self._unconfirmed.get(order.backend_id)
         if barrier is None or barrier.fence != order.fence:
             return False
         if done:
-            del self._missing[order.backend_id]
+            del self._unconfirmed[order.backend_id]
             name, _ = split_incarnation_id(order.backend_id)
-            self._answered[name] = order.backend_id
+            self._confirmed[name] = order.backend_id
         else:
             barrier.is_pending = False
             barrier.next_order = now + BARRIER_RETRY_INTERVAL
--- a/src/limedeck/ownership/candidate_priority.py
+++ b/src/limedeck/ownership/candidate_priority.py
@@ -10,11 +10,11 @@
 
 from limedeck import identity, staggering
 
-SPREAD: identity.Seconds = 0.25
+MAX_CANDIDATE_DELAY: identity.Seconds = 0.25
 """Candidates begin within so long of each other, so that mostly one writes."""
-STRONG_PART = 0.8
+STRONG_NODE_PART = 0.8
 """A machine with this part of the strongest one's processor is as good a leader."""
-ONE_CORE = 1.0
+DEFAULT_STRONGEST_CORES = 1.0
 """The strongest machine is taken to have so many cores while no leader has told."""
 
 
@@ -38,7 +38,7 @@
 def describe_fleet(processors: list[float]) -> Fleet:
     """Describe nodes by the cores that each may use."""
     strongest = max(processors)
-    strong = sum(item >= STRONG_PART * strongest for item in processors)
+    strong = sum(item >= STRONG_NODE_PART * strongest for item in processors)
     return Fleet(len(processors), strongest, strong)
 
 
@@ -53,18 +53,18 @@
         A machine without any would stand so much later than the strongest one, in seconds.
     """
 
-    def __init__(self, processor: float, weakness_delay: identity.Seconds) -> None:
+    def __init__(self, processor: float, max_weak_node_delay: identity.Seconds) -> None:
         self.fleet = Fleet()
         self._processor = processor
-        self._weakness_delay = weakness_delay
+        self._max_weak_node_delay = max_weak_node_delay
 
     @property
-    def handicap(self) -> identity.Seconds:
+    def weak_node_delay(self) -> identity.Seconds:
         """How much later than a strong one this node stands."""
-        strongest = self.fleet.strongest or ONE_CORE
-        return self._weakness_delay * max(1.0 - self._processor / strongest, 0.0)
+        strongest = self.fleet.strongest or DEFAULT_STRONGEST_CORES
+        return self._max_weak_node_delay * max(1.0 - self._processor / strongest, 0.0)
 
-    def spread(self, place: float) -> identity.Seconds:
+    def urgent_delay(self, place: float) -> identity.Seconds:
         """How much later than the first this node stands if all have to, and one must win soon.
 
         Parameters
@@ -72,12 +72,12 @@
         place
             Where the node stands among all, from 0 to 1.
         """
-        return place * SPREAD + self.handicap
+        return place * MAX_CANDIDATE_DELAY + self.weak_node_delay
 
-    def turn(self, place: float) -> identity.Seconds:
+    def staggered_delay(self, place: float) -> identity.Seconds:
         """The same if it is not certain that anyone has to: few begin, then twice as many."""
         fleet = self.fleet
-        if self._processor >= STRONG_PART * fleet.strongest:
+        if self._processor >= STRONG_NODE_PART * fleet.strongest:
             return staggering.delay(place, fleet.strong_count)
         after_strong = staggering.delay(1.0, fleet.strong_count) + staggering.STAGGER_INTERVAL
         return after_strong + staggering.delay(place, fleet.node_count)
--- a/src/limedeck/ownership/election.py
+++ b/src/limedeck/ownership/election.py
@@ -1,6 +1,6 @@
-"""Which node leads: a row in the store, written under a condition, and who was heard lately.
+"""Leader election by conditional writes of a row in the store, and by heartbeats of the leader.
 
-Leadership is a hint that keeps two nodes from doing the same work; fences keep keys safe.
+Leadership only keeps two nodes from doing the same work; fences keep keys safe.
 """
 
 from __future__ import annotations
@@ -16,24 +16,34 @@
 from limedeck.ownership.timing import OwnershipTiming
 
 RETRY_INTERVAL: Seconds = 0.25
-"""Between two readings of the leader's rows, and after the first call that failed; an estimate."""
-LONGEST_RETRY_INTERVAL: Seconds = 1.0
-"""Calls that fail are repeated more and more slowly: all nodes make them at the same time."""
-RESIGNED_WAIT: Seconds = 0.1
-"""A leader that has resigned looks so often who follows it; above the time of an election."""
-FRESH_READING: Seconds = 0.5
-"""A campaign rests on rows that were read at most so long ago."""
+"""Interval between two reads of the leader's rows, and delay after the first failed call."""
+MAX_RETRY_INTERVAL: Seconds = 1.0
+"""Upper bound of the exponential backoff of failed calls, which all nodes make at the same time."""
+RESIGNED_READ_INTERVAL: Seconds = 0.1
+"""Interval at which a leader that has resigned reads who succeeds it; longer than an election."""
+MAX_READ_AGE: Seconds = 0.5
+"""Largest age of the rows on which a campaign is based."""
 
 
 class Role(enum.Enum):
-    """What a node is in its own eyes."""
+    """Role of a node, as far as the node itself knows."""
 
     FOLLOWER = "follower"
     LEADER = "leader"
 
 
 class Suspicion(enum.Enum):
-    """Why a node looks for another leader."""
+    """Reason to look for another leader.
+
+    NO_RECORD
+        The node knows of no leader.
+    SILENT
+        The leader's heartbeats have stopped.
+    DENIED
+        The leader has resigned, or its process says that it does not lead.
+    STORE_UNREACHABLE
+        The leader does not reach the store.
+    """
 
     NO_RECORD = "no-record"
     SILENT = "silent"
@@ -59,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Command: confirm leadership in the store, if the term still stands."""
+    """Command: confirm leadership in the store, if the term is still current."""
 
     term: int
     row_version: int
@@ -75,11 +85,11 @@
     Parameters
     ----------
     record
-        None if there is none.
+        Record of the leader; None if there is none.
     row_version
-        Of the record's row.
+        Version of the record's row.
     confirmation_age
-        How long ago the leader confirmed itself, in seconds; None if never in this term.
+        Age of the leader's last confirmation; None if there is none in this term.
     """
 
     record: LeaderRecord | None
@@ -89,18 +99,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """Who leads, as one node believes.
+    """The current leader, as far as one node knows.
 
     Parameters
     ----------
     why
-        What was held against the leader before.
+        Suspicion for which the former leader was replaced.
     known_for
-        How long this node has known of this term, in seconds.
+        Time since this node learned of this term.
     heard_ago
-        How long ago the leader was heard, in seconds; zero at the leader itself.
+        Time since the last heartbeat of the leader; zero at the leader itself.
     suspicion
-        What this node holds against it now.
+        Current suspicion of this node against the leader.
     """
 
     term: int
@@ -112,17 +122,17 @@
 
 
 class ElectionCore:
-    """One node's part in the election of one leader.
+    """State machine of one node in the election of the leader.
 
     Parameters
     ----------
     identity
         This node's record; its term is not used.
     processor
-        Cores that this node may use; one with less than others stands later.
+        Cores that this node may use; a node with fewer than others stands for election later.
     first_start
-        The whole system starts for the first time, so that nodes look for a leader in turn; later
-        ones find one, and need it soon.
+        Whether the whole system starts for the first time. Nodes then look for a leader at
+        staggered times; otherwise there is a leader, which the node looks for at once.
     """
 
     def __init__(
@@ -133,36 +143,36 @@
         processor: float = 1.0,
         first_start: bool = True,
     ) -> None:
-        self._standing = candidate_priority.CandidatePriority(processor, timing.weakness_delay)
+        self._priority = candidate_priority.CandidatePriority(processor, timing.max_weak_node_delay)
         self.role = Role.FOLLOWER
         self.record: LeaderRecord | None = None
         self.row_version = 0
         self._identity = identity
         self._timing = timing
-        self._heard_at = now
+        self._leader_heard_at = now
         self._term_known_at = now
         self._denied = False
         self._denied_since: Seconds | None = None
-        self._leader_misses_store = False
-        self._age: Seconds | None = None
-        self._age_read_at: Seconds = NEVER
-        self._next_call: Seconds = now + (self._spread() if first_start else 0.0)
+        self._leader_store_unreachable = False
+        self._confirmation_age: Seconds | None = None
+        self._rows_read_at: Seconds = NEVER
+        self._next_call: Seconds = now + (self._urgent_delay() if first_start else 0.0)
         self._confirmed_at: Seconds = NEVER
-        self._busy = False
+        self._is_call_pending = False
         self._failures = 0
-        self._stops = False
+        self._is_stopping = False
         self._leads_since: Seconds = NEVER
-        self._rests_until: Seconds = NEVER
-        self._over: set[tuple[int, int]] = set()
-        self._heard_term = 0
+        self._ineligible_until: Seconds = NEVER
+        self._ended_leaders: set[tuple[int, int]] = set()
+        self._highest_peer_term = 0
 
     @property
     def term(self) -> int:
-        """Newest term that this node knows of."""
+        """Term of the record that this node knows; zero if it knows none."""
         return self.record.term if self.record is not None else 0
 
     def leadership(self, now: Seconds) -> Leadership | None:
-        """Tell who leads; None if this node knows of no leader."""
+        """Return the current leader; None if this node knows of none."""
         if self.record is None:
             return None
         leads = self.role is Role.LEADER
@@ -171,31 +181,32 @@
             node_id=self.record.node_id,
             why=self.record.why,
             known_for=now - self._term_known_at,
-            heard_ago=0.0 if leads else now - self._heard_at,
+            heard_ago=0.0 if leads else now - self._leader_heard_at,
             suspicion=None if leads else self._suspicion(now),
         )
 
     def store_silence(self, now: Seconds) -> Seconds:
-        """How long the store has not confirmed this leader."""
+        """Return the time since the store last confirmed this leader."""
         return now - self._confirmed_at
 
     def may_yield(self, now: Seconds) -> bool:
-        """Whether this leader has been in office long enough to give it up to another.
+        """Whether this leader has led long enough to yield, and the store confirms it.
 
-        It takes the store to elect one: without, all leases would end before there is a leader.
+        Another leader can be elected only if the store is reachable. Without it, all leases would
+        end before there is a new leader.
         """
-        long_enough = now - self._leads_since >= self._timing.yield_after
+        long_enough = now - self._leads_since >= self._timing.min_leadership_time
         is_confirmed = self.store_silence(now) < self._timing.stale_confirmation
         return self.role is Role.LEADER and long_enough and is_confirmed
 
     def is_ineligible(self, now: Seconds) -> bool:
-        """Whether this node has given up leading: for a while, or because it is about to stop."""
-        return self._stops or now < self._rests_until
+        """Whether this node does not stand for election: it has yielded, or is about to stop."""
+        return self._is_stopping or now < self._ineligible_until
 
     def may_renew(self, now: Seconds) -> bool:
-        """Whether this node may go on renewing grants."""
+        """Whether this node leads and may renew grants."""
         leads = self.role is Role.LEADER
-        return leads and self.store_silence(now) < self._timing.leader_patience
+        return leads and self.store_silence(now) < self._timing.max_unconfirmed_time
 
     def handle_heartbeat(
         self,
@@ -204,27 +215,38 @@
         now: Seconds,
         fleet: candidate_priority.Fleet | None = None,
     ) -> None:
-        """The leader was heard; it tells how long the store has not confirmed it."""
+        """Handle a heartbeat of the leader.
+
+        Parameters
+        ----------
+        store_silence
+            Time since the store last confirmed the leader, as it reports.
+        fleet
+            The leader's description of all nodes, if it sent one.
+        """
         if term < self.term:
             return
-        self._heard_at = now
+        self._leader_heard_at = now
         self._denied = False
         if fleet is not None:
-            self._standing.fleet = fleet
-        patience = self._timing.cut_leader_patience + self._standing.turn(self._place())
-        self._leader_misses_store = store_silence > patience
+            self._priority.fleet = fleet
+        timeout = self._timing.unconfirmed_leader_timeout + self._priority.staggered_delay(
+            self._place()
+        )
+        self._leader_store_unreachable = store_silence > timeout
 
     def handle_denial(self, term: int, incarnation: int, resigned: bool) -> None:
-        """The process at a leader's address says that it does not lead.
+        """Handle the statement of the process at the leader's address that it does not lead.
 
         Parameters
         ----------
         term
-            Of the record that named the address.
+            Term of the record that named the address.
         incarnation
-            Of the process. The leader's own may just not know yet that it was elected.
+            Incarnation of the process. If it is the leader's own, the process may not know yet that
+            it was elected.
         resigned
-            It led, and has given that up.
+            Whether the process led and has given up leadership.
         """
         if self.record is None or term != self.term or self.role is Role.LEADER:
             return
@@ -232,104 +254,106 @@
             self._denied = True
 
     def handle_peer_record(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
-        """Another node told which record it has read."""
+        """Handle a leader record that another node has read and sent."""
         if record.term <= self.term or row_version <= self.row_version:
             return
         self.record = record
         self.row_version = row_version
-        self._note_new_term(now)
-        self._settle_role(now)
+        self._record_new_term(now)
+        self._update_role(now)
 
     def handle_leader_read(self, seen: LeaderReadResult, now: Seconds) -> None:
-        """The leader's rows were read, or a write showed them."""
-        self._busy = False
+        """Handle the leader's rows, as read or as returned by a failed write."""
+        self._is_call_pending = False
         self._failures = 0
         known = self.term
         if seen.row_version >= self.row_version:
             self.record = seen.record
             self.row_version = seen.row_version
         if self.term > known:
-            self._note_new_term(now)
-        self._age = seen.confirmation_age
-        self._age_read_at = now
+            self._record_new_term(now)
+        self._confirmation_age = seen.confirmation_age
+        self._rows_read_at = now
         self._next_call = now
-        self._settle_role(now)
+        self._update_role(now)
 
-    def _note_new_term(self, now: Seconds) -> None:
-        """There is a later leader than the one that was heard or denied."""
-        self._heard_at = now
+    def _record_new_term(self, now: Seconds) -> None:
+        """Drop what was known of the former leader: there is a later one."""
+        self._leader_heard_at = now
         self._term_known_at = now
         self._denied = False
-        self._leader_misses_store = False
+        self._leader_store_unreachable = False
 
     def handle_elected(self, record: LeaderRecord, row_version: int, now: Seconds) -> None:
-        """The store took this node's record."""
-        self._busy = False
+        """Handle the store's acceptance of this node's record."""
+        self._is_call_pending = False
         self._failures = 0
         self.record = record
         self.row_version = row_version
         self._term_known_at = now
         self._confirmed_at = now
         self._denied = False
-        self._leader_misses_store = False
-        self._settle_role(now)
+        self._leader_store_unreachable = False
+        self._update_role(now)
 
     def handle_confirmed(self, sent_at: Seconds) -> None:
-        """The store confirmed this leader; the time is that before the call."""
-        self._busy = False
+        """Handle the store's confirmation of this leader; `sent_at` is the time before the call."""
+        self._is_call_pending = False
         self._failures = 0
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
     def handle_store_failure(self, now: Seconds) -> None:
-        """A call to the store failed; whether it did anything is unknown."""
-        self._busy = False
-        self._age = None
+        """Handle a failed call to the store, which may have taken effect."""
+        self._is_call_pending = False
+        self._confirmation_age = None
         self._failures += 1
         pause = RETRY_INTERVAL * 2.0 ** min(self._failures - 1, 10)
-        self._next_call = now + min(pause, LONGEST_RETRY_INTERVAL)
+        self._next_call = now + min(pause, MAX_RETRY_INTERVAL)
 
     def former_leaders(self) -> list[FormerLeader]:
-        """Leaders of earlier terms that may still renew grants, while this node leads."""
+        """Return leaders of earlier terms that may still renew grants, while this node leads."""
         if self.role is not Role.LEADER or self.record is None:
             return []
         return [
-            item for item in self.record.former if (item.incarnation, item.term) not in self._over
+            item
+            for item in self.record.former
+            if (item.incarnation, item.term) not in self._ended_leaders
         ]
 
     def handle_former_leader_ended(self, former: FormerLeader) -> None:
-        """A former leader's process has ended or says that it leads that term no more."""
-        self._over.add((former.incarnation, former.term))
+        """Handle that a former leader's process has ended or no longer leads in that term."""
+        self._ended_leaders.add((former.incarnation, former.term))
 
     def handle_superseded(self, term: int) -> None:
-        """Another node knows of a later term; this one will lead no earlier term any more."""
-        self._heard_term = max(self._heard_term, term)
+        """Handle another node's later term; this node will not lead in an earlier one."""
+        self._highest_peer_term = max(self._highest_peer_term, term)
         if self.role is Role.LEADER and term > self.term:
             self.step_down()
 
     def step_down(self) -> None:
-        """Orders were refused because of a higher fence: there is a later leader."""
+        """Stop leading because orders were refused by a higher fence: there is a later leader."""
         self.role = Role.FOLLOWER
         self._denied = True
 
     def resign(self) -> None:
-        """Lead no more, and never again: this process is about to stop."""
+        """Stop leading for good, because this process is about to stop."""
         if self.role is Role.LEADER:
             self._denied = True
-        self._stops = True
+        self._is_stopping = True
         self.role = Role.FOLLOWER
 
     def yield_leadership(self, now: Seconds) -> None:
-        """Lead no more, and let others stand first: they may reach what this node does not."""
+        """Stop leading, and let other nodes stand first: they may reach owners that this cannot."""
         self.role = Role.FOLLOWER
         self._denied = True
-        self._rests_until = now + self._timing.yield_rest
+        self._ineligible_until = now + self._timing.yield_cooldown
 
     def handle_tick(self, now: Seconds) -> ElectionCommand | None:
-        """Decide what to ask of the store now."""
-        if self._busy or now < self._next_call:
+        """Return the call to the store that is due, if any."""
+        if self._is_call_pending or now < self._next_call:
             return None
         command = self._leader_tick(now) if self.role is Role.LEADER else self._follower_tick(now)
-        self._busy = command is not None
+        self._is_call_pending = command is not None
         return command
 
     def _leader_tick(self, now: Seconds) -> ElectionCommand | None:
@@ -340,15 +364,15 @@
         why = self._suspicion(now)
         if why is not Suspicion.DENIED:
             self._denied_since = None
-        if why is None or not self._may_stand(why, now):
+        if why is None or not self._is_turn(why, now):
             return None
-        freshness = RESIGNED_WAIT if self.is_ineligible(now) else FRESH_READING
-        if now - self._age_read_at > freshness:
+        freshness = RESIGNED_READ_INTERVAL if self.is_ineligible(now) else MAX_READ_AGE
+        if now - self._rows_read_at > freshness:
             self._next_call = now + RETRY_INTERVAL
             return ReadLeader(why)
-        if not self.is_ineligible(now) and self._may_replace(why, now):
-            self._age_read_at = NEVER
-            return Campaign(self._candidacy(why), self.row_version, why)
+        if not self.is_ineligible(now) and self._may_replace_leader(why, now):
+            self._rows_read_at = NEVER
+            return Campaign(self._candidate_record(why), self.row_version, why)
         return None
 
     def _suspicion(self, now: Seconds) -> Suspicion | None:
@@ -356,36 +380,37 @@
             return Suspicion.NO_RECORD
         if self._denied:
             return Suspicion.DENIED
-        if now - self._heard_at > self._timing.leader_silence + self._spread():
+        if now - self._leader_heard_at > self._timing.leader_silence + self._urgent_delay():
             return Suspicion.SILENT
-        if self._leader_misses_store:
+        if self._leader_store_unreachable:
             return Suspicion.STORE_UNREACHABLE
         return None
 
-    def _may_stand(self, why: Suspicion, now: Seconds) -> bool:
-        """Whether this node's turn has come.
+    def _is_turn(self, why: Suspicion, now: Seconds) -> bool:
+        """Whether this node's turn to stand for election has come.
 
-        All followers hear at the same time that their leader has resigned, and a weak machine is
-        as quick as a strong one. What was read before says nothing of those whose turn came first.
-        The one that resigned looks soon who follows it, and tells the others.
+        All followers learn of a resignation at the same time, so that without a delay a weak
+        machine could win over a strong one. Rows read before do not show candidates whose turn
+        came first, and are read again. The node that resigned soon reads who succeeds it, and
+        informs the others.
         """
         if why is not Suspicion.DENIED:
             return True
         if self._denied_since is None:
             self._denied_since = now
-            self._age_read_at = NEVER
-        own_turn = self._spread() + self._standing.handicap
-        wait = RESIGNED_WAIT if self.is_ineligible(now) else own_turn
+            self._rows_read_at = NEVER
+        own_turn = self._urgent_delay() + self._priority.weak_node_delay
+        wait = RESIGNED_READ_INTERVAL if self.is_ineligible(now) else own_turn
         return now >= self._denied_since + wait
 
-    def _may_replace(self, why: Suspicion, now: Seconds) -> bool:
+    def _may_replace_leader(self, why: Suspicion, now: Seconds) -> bool:
         if why in (Suspicion.NO_RECORD, Suspicion.DENIED):
             return True
-        if self._age is None:
+        if self._confirmation_age is None:
             return True
-        return self._age + (now - self._age_read_at) > self._timing.stale_confirmation
+        return self._confirmation_age + (now - self._rows_read_at) > self._timing.stale_confirmation
 
-    def _candidacy(self, why: Suspicion) -> LeaderRecord:
+    def _candidate_record(self, why: Suspicion) -> LeaderRecord:
         record = LeaderRecord()
         record.CopyFrom(self._identity)
         record.why = why.value
@@ -394,36 +419,39 @@
             record.former.extend(_former_leaders(self.record, self._identity.node_id))
         return record
 
-    def _settle_role(self, now: Seconds) -> None:
-        mine = self.record is not None and (
+    def _update_role(self, now: Seconds) -> None:
+        is_own = self.record is not None and (
             self.record.node_id == self._identity.node_id
             and self.record.incarnation == self._identity.incarnation
         )
         is_willing = not self._denied and not self.is_ineligible(now)
-        may_lead = is_willing and self.term >= self._heard_term
-        if mine and may_lead and self.role is Role.FOLLOWER:
+        may_lead = is_willing and self.term >= self._highest_peer_term
+        if is_own and may_lead and self.role is Role.FOLLOWER:
             self.role = Role.LEADER
             self._leads_since = now
             self._confirmed_at = max(self._confirmed_at, now)
             self._next_call = now
-        elif not mine:
+        elif not is_own:
             self.role = Role.FOLLOWER
             if self.record is not None and self.record.node_id == self._identity.node_id:
-                # An earlier life of this node led; it is over, and only this node knows it.
+                # An earlier incarnation of this node led. Only this node knows that it has ended.
                 self._denied = True
                 self._denied_since = NEVER
 
-    def _spread(self) -> Seconds:
-        return self._standing.spread(self._place())
+    def _urgent_delay(self) -> Seconds:
+        return self._priority.urgent_delay(self._place())
 
     def _place(self) -> float:
-        """Where this node stands among the candidates, from 0 to 1; another in each term."""
+        """Return a hash of node and term from 0 to 1: the node's place among the candidates."""
         text = f"{self._identity.node_id}/{self.term}"
         return xxhash.xxh32_intdigest(text.encode()) / float(1 << 32)
 
 
 def _former_leaders(record: LeaderRecord, own_node: str) -> list[FormerLeader]:
-    """The record's leader and those before it; a later life of a node proves that earlier ended."""
+    """Return the record's leader and those before it, with the last incarnation of each node.
+
+    A later incarnation of a node proves that earlier ones have ended; this node's own are left out.
+    """
     newest = {item.node_id: item for item in record.former}
     newest[record.node_id] = FormerLeader(
         node_id=record.node_id,
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -8,15 +8,15 @@
 
 from limedeck.identity import NEVER, Seconds
 
-SMOOTHING = 0.05
+RESPONSE_WEIGHT = 0.05
 """Weight of one answer in a back end's service time; some 20 tell the mean of uneven work."""
 FRESH: Seconds = 1.0
 """A service time is believed as it is for so long after the last answer of any node."""
-AGING: Seconds = 3.0
+DECAY_TIME: Seconds = 3.0
 """After `FRESH`, its difference from the others' mean fades by two thirds in so long. A back
 end that looked slow once and then got nothing looked slow for ever: an idle one of six got none of
 60 requests a second for 8 s. One that is slow gets some request every few seconds instead."""
-LEAST_WEIGHT = 1e-6
+MIN_WEIGHT = 1e-6
 """Of a service time in the mean, so that there is one if all are old."""
 
 
@@ -81,23 +81,23 @@
     weights: dict[str, float] = dict.fromkeys(services.values(), 0.0)
     sums = dict(weights)
     for total in measured:
-        weight = max(_freshness(total.answered_at, now), LEAST_WEIGHT)
+        weight = max(_freshness(total.answered_at, now), MIN_WEIGHT)
         weights[services[total.backend]] += weight
         sums[services[total.backend]] += weight * total.service_time
-    aged = []
+    decayed = []
     for total in totals:
         if total.service_time > 0.0:
             service = services[total.backend]
             typical = sums[service] / weights[service]
             time = typical + (total.service_time - typical) * _freshness(total.answered_at, now)
             total = replace(total, service_time=time)
-        aged.append(total)
-    return aged
+        decayed.append(total)
+    return decayed
 
 
 def _freshness(answered_at: Seconds, now: Seconds) -> float:
     """What a service time is worth by the time of the last answer, from 1 to 0."""
-    return math.exp(-max(now - answered_at - FRESH, 0.0) / AGING)
+    return math.exp(-max(now - answered_at - FRESH, 0.0) / DECAY_TIME)
 
 
 class FleetLoad:
@@ -121,7 +121,7 @@
             if report.outstanding:
                 outstanding[report.backend] = report.outstanding
             if report.answers:
-                self._note_answers(report, now)
+                self._record_responses(report, now)
                 self._answered_at[report.backend] = now
         self._by_node[node] = outstanding
 
@@ -156,12 +156,12 @@
             for item in wanted
         ]
 
-    def _note_answers(self, report: BackendReport, now: Seconds) -> None:
+    def _record_responses(self, report: BackendReport, now: Seconds) -> None:
         known = self._service_times.get(report.backend)
         if known is None:
             self._service_times[report.backend] = report.service_time
             return
         # What is old has faded by as much as nodes were told.
         kept = _freshness(self._answered_at.get(report.backend, now), now)
-        weight = 1.0 - kept * (1.0 - SMOOTHING) ** report.answers
+        weight = 1.0 - kept * (1.0 - RESPONSE_WEIGHT) ** report.answers
         self._service_times[report.backend] = known + weight * (report.service_time - known)
--- a/src/limedeck/ownership/leader_permits.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -6,9 +6,9 @@
 from limedeck.identity import Seconds
 from limedeck.ownership.election import ElectionCore, Role
 
-UNHEARD_PAUSE: Seconds = 0.3
+NO_RESPONSE_RETRY_DELAY: Seconds = 0.3
 """Without a leader's answer a node asks again after so long: about the time of an election."""
-NO_LEADER_RESPONSE = PermitDenied(UNHEARD_PAUSE)
+NO_LEADER_RESPONSE = PermitDenied(NO_RESPONSE_RETRY_DELAY)
 """What is assumed without a leader's answer."""
 
 
@@ -17,7 +17,7 @@
 
     def __init__(self, election: ElectionCore) -> None:
         self._election = election
-        self._lender: PermitIssuer | None = None
+        self._issuer: PermitIssuer | None = None
         self._term = 0
 
     @property
@@ -28,12 +28,12 @@
     def handle_tick(self, now: Seconds) -> None:
         """Begin anew in each term, and end with it."""
         if not self.leads:
-            self._lender = None
+            self._issuer = None
             return
-        if self._lender is None or self._term != self._election.term:
-            self._lender = PermitIssuer(now)
+        if self._issuer is None or self._term != self._election.term:
+            self._issuer = PermitIssuer(now)
             self._term = self._election.term
-        self._lender.forget_old(now)
+        self._issuer.forget_old(now)
 
     def issue(self, request: PermitRequest, known: float | None, now: Seconds) -> PermitResponse:
         """Lend a permit, if there is room.
@@ -44,6 +44,6 @@
             Requests a second that this node believes the back end takes; None: without bound.
         """
         is_in_office = self.leads and self._term == self._election.term
-        if self._lender is None or not is_in_office:
+        if self._issuer is None or not is_in_office:
             return NO_LEADER_RESPONSE
-        return self._lender.issue(request, known, self._election.store_silence(now), now)
+        return self._issuer.issue(request, known, self._election.store_silence(now), now)
--- a/src/limedeck/ownership/outliers.py
+++ b/src/limedeck/ownership/outliers.py
@@ -16,27 +16,27 @@
 
 from limedeck.identity import NEVER, Seconds
 
-MEMORY: Seconds = 2.0
+DECAY_TIME: Seconds = 2.0
 """After so long, an attempt counts for a third; an estimate."""
-FEWEST_ATTEMPTS = 8.0
+MIN_ATTEMPTS = 8.0
 """Fewer tell chance: where two in a hundred fail everywhere, three of eight is one in 2,300."""
-EXCESS = 0.3
+MIN_FAILURE_EXCESS = 0.3
 """An outlier's share of failures is above that of the others by so much; an application's own
 errors come from all back ends alike."""
-MOST_EXCLUDED = 0.4
+MAX_EXCLUDED_PART = 0.4
 """Part of a service's back ends that is excluded at most: the others must be able to do the work.
 Back ends are used to half of their capacity at the known sites."""
-EXCLUSION: Seconds = 1.5
+BASE_EXCLUSION_TIME: Seconds = 1.5
 """The first exclusion; each further one is twice as long."""
-LONGEST_EXCLUSION: Seconds = 6.0
+MAX_EXCLUSION_TIME: Seconds = 6.0
 """Faults of back ends that were seen last for some 5 s; longer ones keep sound back ends idle."""
 OVERLOAD_REQUESTS_PER_SLOT = 2.0
 """Requests for each slot from which a back end is overloaded: as many wait as it works on. A hot
 spot's owner has five for each slot and resets what comes beyond (docs/policy/large-fleets.md)."""
-LONGEST_SILENCE: Seconds = 1.0
+MAX_TIME_WITHOUT_RESPONSE: Seconds = 1.0
 """A back end that is overloaded still answers some requests; one that answers none for so long
 hangs. An estimate, above the times that single requests take at the known sites."""
-FORGIVEN: Seconds = 10.0
+EXCLUSION_RESET_TIME: Seconds = 10.0
 """An exclusion so long ago does not make the next one longer."""
 
 
@@ -54,39 +54,39 @@
 
     attempts: float = 0.0
     failures: float = 0.0
-    faded_at: Seconds = NEVER
-    silent_since: Seconds = NEVER
-    noted_at: Seconds = NEVER
+    decayed_at: Seconds = NEVER
+    no_response_since: Seconds = NEVER
+    last_attempt_at: Seconds = NEVER
     exclusions: int = 0
     excluded_until: Seconds = NEVER
 
-    def fade(self, now: Seconds) -> None:
-        factor = math.exp(-(now - self.faded_at) / MEMORY)
+    def decay(self, now: Seconds) -> None:
+        factor = math.exp(-(now - self.decayed_at) / DECAY_TIME)
         self.attempts *= factor
         self.failures *= factor
-        self.faded_at = now
+        self.decayed_at = now
 
     def record(self, answers: int, failures: int, now: Seconds) -> None:
         if not answers and not failures:
             return
-        if answers or now - self.noted_at > LONGEST_SILENCE:
-            self.silent_since = now
-        self.noted_at = now
-        self.fade(now)
+        if answers or now - self.last_attempt_at > MAX_TIME_WITHOUT_RESPONSE:
+            self.no_response_since = now
+        self.last_attempt_at = now
+        self.decay(now)
         self.attempts += answers + failures
         self.failures += failures
 
-    def forget_attempts(self) -> None:
+    def reset_attempts(self) -> None:
         self.attempts = 0.0
         self.failures = 0.0
 
     def exclude(self, now: Seconds) -> None:
-        if now - self.excluded_until > FORGIVEN:
+        if now - self.excluded_until > EXCLUSION_RESET_TIME:
             self.exclusions = 0
-        span = min(EXCLUSION * 2.0**self.exclusions, LONGEST_EXCLUSION)
-        self.excluded_until = now + span
+        exclusion_time = min(BASE_EXCLUSION_TIME * 2.0**self.exclusions, MAX_EXCLUSION_TIME)
+        self.excluded_until = now + exclusion_time
         self.exclusions += 1
-        self.forget_attempts()
+        self.reset_attempts()
 
 
 class OutlierDetector:
@@ -97,7 +97,7 @@
 
     def record(self, backend: int, answers: int, failures: int, now: Seconds) -> None:
         """A node reports answers and failed attempts of a back end, named by its hash."""
-        history = self._histories.setdefault(backend, _History(faded_at=now))
+        history = self._histories.setdefault(backend, _History(decayed_at=now))
         if now < history.excluded_until:
             return
         history.record(answers, failures, now)
@@ -122,8 +122,8 @@
         self._histories = {key: item for key, item in self._histories.items() if key in services}
         for backend in overloaded:
             history = self._histories.get(backend)
-            if history is not None and now - history.silent_since <= LONGEST_SILENCE:
-                history.forget_attempts()
+            if history is not None and now - history.no_response_since <= MAX_TIME_WITHOUT_RESPONSE:
+                history.reset_attempts()
         members: defaultdict[str, list[int]] = defaultdict(list)
         for backend, service in services.items():
             members[service].append(backend)
@@ -136,9 +136,9 @@
     def _exclude_outliers(self, listed: list[int], now: Seconds) -> None:
         histories = [self._histories[key] for key in listed if key in self._histories]
         for history in histories:
-            history.fade(now)
+            history.decay(now)
         excluded = sum(now < history.excluded_until for history in histories)
-        allowed = int(MOST_EXCLUDED * len(listed)) - excluded
+        allowed = int(MAX_EXCLUDED_PART * len(listed)) - excluded
         if allowed <= 0:
             return
         attempts = sum(history.attempts for history in histories)
@@ -152,7 +152,7 @@
 def _is_outlier(history: _History, attempts: float, failures: float) -> bool:
     """Compare one with the others of its service, whose sums are given with it."""
     others = attempts - history.attempts
-    if history.attempts < FEWEST_ATTEMPTS or others < FEWEST_ATTEMPTS:
+    if history.attempts < MIN_ATTEMPTS or others < MIN_ATTEMPTS:
         return False
     usual = (failures - history.failures) / others
-    return history.failures / history.attempts >= usual + EXCESS
+    return history.failures / history.attempts >= usual + MIN_FAILURE_EXCESS
--- a/src/limedeck/ownership/owner_liveness.py
+++ b/src/limedeck/ownership/owner_liveness.py
@@ -12,14 +12,14 @@
 from limedeck.identity import NEVER, Seconds
 from limedeck.ownership.timing import OwnershipTiming
 
-UNHEARD_PART = 1 / 3
+MAX_UNRESPONSIVE_PART = 1 / 3
 """More owners than this part that answer others and not the leader: it is at fault. An estimate:
 single back ends are out of one node's reach for reasons of their own. In simulated time, with a
 leader whose orders take 40 times their work, all of 24 owners are unheard after 0.6 s; taking their
 keys left 48 of 48 keys without an owner for 4 s, and yielding none (test_slow_leader.py)."""
 
 
-class OwnerSilence:
+class OwnerLiveness:
     """One leader's view of the back ends of one service.
 
     Parameters
@@ -28,65 +28,65 @@
         When this leader took the service over.
     """
 
-    def __init__(self, timing: OwnershipTiming, opened_at: Seconds) -> None:
+    def __init__(self, timing: OwnershipTiming, taken_over_at: Seconds) -> None:
         self._timing = timing
-        self._opened_at = opened_at
-        self._asked_at: dict[str, Seconds] = {}
-        self._answered_at: dict[str, Seconds] = {}
+        self._taken_over_at = taken_over_at
+        self._requested_at: dict[str, Seconds] = {}
+        self._responded_at: dict[str, Seconds] = {}
         self._avoided_until: dict[str, Seconds] = {}
 
-    def note_asked(self, backend_id: str, now: Seconds) -> None:
+    def record_order_sent(self, backend_id: str, now: Seconds) -> None:
         """An order is sent; silence counts from the first one without an answer."""
-        self._asked_at.setdefault(backend_id, now)
+        self._requested_at.setdefault(backend_id, now)
 
-    def note_heard(self, backend_id: str) -> None:
+    def record_order_response(self, backend_id: str) -> None:
         """It has answered an order."""
-        self._asked_at.pop(backend_id, None)
+        self._requested_at.pop(backend_id, None)
         self._avoided_until.pop(backend_id, None)
 
-    def note_new_owner(self, backend_id: str) -> None:
+    def record_new_owner(self, backend_id: str) -> None:
         """It gets keys: its silence counts from the first order that it gets as their owner."""
-        self._asked_at.pop(backend_id, None)
+        self._requested_at.pop(backend_id, None)
 
-    def record_last_response(self, backend_id: str, answered_at: Seconds) -> None:
+    def record_last_response(self, backend_id: str, responded_at: Seconds) -> None:
         """A node told at this time that the back end had answered a request."""
-        self._answered_at[backend_id] = answered_at
+        self._responded_at[backend_id] = responded_at
 
     def requested_at(self, backend_id: str) -> Seconds | None:
         """When the first order without an answer was sent; None if there is none."""
-        return self._asked_at.get(backend_id)
+        return self._requested_at.get(backend_id)
 
-    def is_silent(self, backend_id: str, now: Seconds) -> bool:
+    def is_presumed_failed(self, backend_id: str, now: Seconds) -> bool:
         """Whether it has answered no order for so long that it loses its keys."""
-        requested_at = self._asked_at.get(backend_id)
-        return requested_at is not None and now - requested_at > self._timing.holder_silence
+        requested_at = self._requested_at.get(backend_id)
+        return requested_at is not None and now - requested_at > self._timing.owner_timeout
 
-    def is_unheard(self, backend_id: str, now: Seconds) -> bool:
+    def is_unresponsive(self, backend_id: str, now: Seconds) -> bool:
         """Whether two orders and more to it are without an answer."""
-        requested_at = self._asked_at.get(backend_id)
-        return requested_at is not None and now - requested_at >= self._timing.loss_silence
+        requested_at = self._requested_at.get(backend_id)
+        return requested_at is not None and now - requested_at >= self._timing.unresponsive_timeout
 
-    def is_lost(self, backend_id: str, now: Seconds) -> bool:
+    def is_unreachable(self, backend_id: str, now: Seconds) -> bool:
         """Whether neither this node nor, as far as it heard, any other one is answered there."""
-        requested_at = self._asked_at.get(backend_id)
+        requested_at = self._requested_at.get(backend_id)
         if requested_at is None:
             return False
         # Nodes that have not connected to a new leader yet tell it nothing.
-        since = max(requested_at, self._opened_at + self._timing.following)
-        if now - since < self._timing.loss_silence:
+        since = max(requested_at, self._taken_over_at + self._timing.follower_reconnect_time)
+        if now - since < self._timing.unresponsive_timeout:
             return False
-        return not self._answers_others(backend_id, since)
+        return not self._responds_to_others(backend_id, since)
 
-    def is_own_fault(self, owners: Collection[str], now: Seconds) -> bool:
+    def is_leader_at_fault(self, owners: Collection[str], now: Seconds) -> bool:
         """Whether so many owners answer others and not this node that the fault is here."""
-        unheard = sum(self._answers_only_others(owner, now) for owner in owners)
-        return unheard > UNHEARD_PART * len(owners)
+        unresponsive = sum(self._responds_only_to_others(owner, now) for owner in owners)
+        return unresponsive > MAX_UNRESPONSIVE_PART * len(owners)
 
     def avoid(self, backend_id: str, now: Seconds) -> None:
         """Give it no keys for a while."""
-        self._avoided_until[backend_id] = now + self._timing.avoidance
+        self._avoided_until[backend_id] = now + self._timing.avoidance_time
 
-    def avoid_longer(self, backend_id: str, now: Seconds) -> None:
+    def extend_avoidance(self, backend_id: str, now: Seconds) -> None:
         """One more order was lost; if it is avoided, it is for longer."""
         if backend_id in self._avoided_until:
             self.avoid(backend_id, now)
@@ -95,16 +95,18 @@
         """Whether it is to get no keys, as of the last `end_avoidance`."""
         return backend_id in self._avoided_until
 
-    def end_avoidance(self, now: Seconds) -> None:
+    def expire_avoidance(self, now: Seconds) -> None:
         """Back ends that were avoided long enough are judged anew."""
         for backend_id in [key for key, until in self._avoided_until.items() if until <= now]:
             del self._avoided_until[backend_id]
-            self._asked_at.pop(backend_id, None)
+            self._requested_at.pop(backend_id, None)
 
-    def _answers_only_others(self, backend_id: str, now: Seconds) -> bool:
-        requested_at = self._asked_at.get(backend_id, NEVER)
-        return self.is_unheard(backend_id, now) and self._answers_others(backend_id, requested_at)
+    def _responds_only_to_others(self, backend_id: str, now: Seconds) -> bool:
+        requested_at = self._requested_at.get(backend_id, NEVER)
+        return self.is_unresponsive(backend_id, now) and self._responds_to_others(
+            backend_id, requested_at
+        )
 
-    def _answers_others(self, backend_id: str, since: Seconds) -> bool:
+    def _responds_to_others(self, backend_id: str, since: Seconds) -> bool:
         """Whether a node was surely answered there after this moment."""
-        return self._answered_at.get(backend_id, NEVER) >= since + self._timing.report_delay
+        return self._responded_at.get(backend_id, NEVER) >= since + self._timing.max_report_delay
--- a/src/limedeck/ownership/planned_limits.py
+++ b/src/limedeck/ownership/planned_limits.py
@@ -8,7 +8,7 @@
 from limedeck.forwarding.permits import MIN_RATE
 from limedeck.identity import Seconds
 
-RISE_PATIENCE: Seconds = 5.0
+RISE_DELAY: Seconds = 5.0
 """A limit that rises or is lifted is planned with once it has held for so long: a move costs its
 keys' callers a fraction of a second, and a back end in need names another limit every second."""
 
@@ -46,13 +46,13 @@
         if planned is None or (limit is not None and limit <= planned.rate):
             return None if limit is None else _Planned(limit)
         since = now if planned.higher_since is None else planned.higher_since
-        lowest = limit if planned.higher_since is None else _lower(planned.next_rate, limit)
-        if now - since < RISE_PATIENCE:
+        lowest = limit if planned.higher_since is None else _stricter(planned.next_rate, limit)
+        if now - since < RISE_DELAY:
             return _Planned(planned.rate, since, lowest)
         return None if lowest is None else _Planned(lowest)
 
 
-def _lower(one: float | None, other: float | None) -> float | None:
+def _stricter(one: float | None, other: float | None) -> float | None:
     """Return the stricter of two limits; None names none."""
     if one is None or other is None:
         return other if one is None else one
--- a/src/limedeck/ownership/planning.py
+++ b/src/limedeck/ownership/planning.py
@@ -1,4 +1,4 @@
-"""Which back end should own which keys: evenly by measured load and speed, with few moves."""
+"""Plans which back end owns which keys, by measured load and speed and with few moves."""
 
 from __future__ import annotations
 
@@ -9,34 +9,37 @@
 from limedeck.identity import Seconds
 from limedeck.ownership.key_load import KeyLoad
 
-TOLERATED_EXCESS = 1.2
-"""A back end gives keys up when it is used so many times as much as the mean."""
-HIGH_USE = 0.7
-"""From this use on, a queue grows much faster than the use, so less is tolerated: requests that
-come at random wait for one of four slots 0.4 of their work at 0.7, and twice their work at 0.9."""
-TOLERATED_HIGH_EXCESS = 1.06
-"""The same as `TOLERATED_EXCESS`, for a back end above `HIGH_USE`."""
-SAME_AMOUNT = 0.8
-"""Cuts that move this part of the largest amount are as good; the one with fewest keys is made."""
-LEAST_USE = 0.25
-"""A back end with less of its capacity in use than this gives nothing up."""
-FEWEST_MOVES_AT_ONCE = 12
-"""So many moves are planned at a time, and one for each back end where there are more: a hot spot
-is more than many of them can work on together, and each takes a small part."""
-LEAST_TARGET = 0.3
-"""A back end is meant to have at least this part of its capacity as load: with little load in all,
-the rule would leave slow ones without any, and a surge would find too few."""
-WORTHWHILE = 0.9
-"""A very hot key is moved if its next owner is then used less than this part of the present one."""
-MUCH_FASTER = 1.3
-"""A key that is too much for any back end is moved to one that is so many times as fast."""
-SMALLEST_MOVE = 0.04
-"""Moves of less than this part of a back end's capacity are not worth it."""
+MAX_RELATIVE_UTILIZATION = 1.2
+"""A back end gives up keys when its utilization exceeds the mean by this factor."""
+HIGH_UTILIZATION = 0.7
+"""Above this utilization a queue grows much faster than the load, so a smaller excess is tolerated.
+With four slots and random arrivals, the mean wait is 0.4 service times at 0.7 and 2 at 0.9."""
+MAX_RELATIVE_HIGH_UTILIZATION = 1.06
+"""Replaces `MAX_RELATIVE_UTILIZATION` for a back end from `HIGH_UTILIZATION` on."""
+EQUIVALENT_CUT_RATIO = 0.8
+"""Cuts that move at least this part of the largest possible load count as equivalent; the one with
+the fewest keys is used."""
+MIN_UTILIZATION = 0.25
+"""A back end with a lower utilization than this gives up no keys."""
+BASE_MAX_MOVES = 12
+"""Most moves in one plan; with more back ends than this, one move for each. The load of a hot spot
+can exceed the capacity of many back ends together, so that each has to take a small part."""
+MIN_TARGET_PART = 0.3
+"""Smallest target load of a back end, as a part of its capacity. Without it, slow back ends would
+get no keys at low load, and too few back ends would share a sudden increase."""
+HOT_KEY_MOVE_RATIO = 0.9
+"""A hot key is moved by itself if its next owner's utilization with the key is below this part of
+the present owner's."""
+OVERSIZED_KEY_SPEED_RATIO = 1.3
+"""A key whose load exceeds the capacity of any other back end is moved only if utilization falls by
+this factor, that is, to a much faster back end."""
+MIN_MOVE_PART = 0.04
+"""Moves of a load below this part of the next owner's capacity are not made."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedMove:
-    """Give the keys from `first` to `last`, both inside, to another back end."""
+    """Move of the keys from `first` to `last`, both inclusive, to another back end."""
 
     first: int
     last: int
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedPiece:
-    """Keys that one back end owns, and that may be moved."""
+    """Contiguous keys of one owner."""
 
     first: int
     last: int
@@ -54,28 +57,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Keys at one end of a piece, and their load in requests a second.
+    """Keys at one end of a piece, and their load in requests per second.
 
     Parameters
     ----------
-    single
-        The only one of these keys that has any load, if that is known.
+    loaded_key
+        The only one of these keys that has load; None if there may be several.
     """
 
     piece: OwnedPiece
     first: int
     last: int
     amount: float
-    single: int | None = None
+    loaded_key: int | None = None
 
     @property
     def size(self) -> int:
-        """How many keys these are, with load or without."""
+        """Number of keys, with and without load."""
         return self.last - self.first + 1
 
 
-def first_assignment(backend_ids: Sequence[str], positions: int) -> list[tuple[int, int, str]]:
-    """Cut all keys into one range of equal size for each back end."""
+def initial_assignment(backend_ids: Sequence[str], positions: int) -> list[tuple[int, int, str]]:
+    """Divide all keys into one range of equal size for each back end."""
     count = len(backend_ids)
     edges = [positions * index // count for index in range(count + 1)] if count else []
     return [
@@ -85,31 +88,31 @@
 
 
 def least_loaded(loads: Mapping[str, float]) -> str:
-    """Return the back end with the least load; the first by name among equals."""
+    """Return the back end with the least load; of equal ones, the first by name."""
     return min(loads, key=lambda backend_id: (loads[backend_id], backend_id))
 
 
 def balanced_capacities(
     capacities: Mapping[str, float], loads: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the capacities by which load is to be shared, so that requests take least time.
+    """Return weighted capacities; load in proportion to them minimizes the mean response time.
 
-    If all back ends are used to the same part, requests at the slow ones wait longest: there a
-    queue of one costs more. The mean time is least where the spare capacity of each is
+    At equal utilization, requests at slow back ends wait longest, since each request queued there
+    takes longer. The mean response time is least where the spare capacity of each back end is
     proportional to the square root of its speed (L. Kleinrock, "Communication Nets", 1964).
 
     Parameters
     ----------
     capacities
-        Requests a second that each back end can work on.
+        Requests per second that each back end can process.
     loads
-        Requests a second that each has; what one cannot work on is left out.
+        Requests per second that each back end gets; the part above its capacity is ignored.
     """
     total = sum(capacities.values())
     spare = total - sum(min(loads[name], capacity) for name, capacity in capacities.items())
     roots = sum(math.sqrt(capacity) for capacity in capacities.values())
     targets = {
-        name: max(capacity - spare * math.sqrt(capacity) / roots, LEAST_TARGET * capacity)
+        name: max(capacity - spare * math.sqrt(capacity) / roots, MIN_TARGET_PART * capacity)
         for name, capacity in capacities.items()
     }
     scale = total / sum(targets.values())
@@ -117,26 +120,26 @@
 
 
 class BalancePlan:
-    """Greedy moves from the most to the least used back end.
+    """Greedy plan of moves from the most to the least utilized back end.
 
     Attributes
     ----------
-    parted
+    moved_hot_keys
         Hot keys that are moved by themselves.
 
     Parameters
     ----------
     pieces
-        All keys with an owner.
+        Keys that have an owner and may be moved.
     capacities
-        Requests a second that each back end can work on.
-    settled
-        Hot keys that have moved lately, and stay where they are.
+        Requests per second that each back end can process.
+    required_deviations
+        Standard deviations by which a load must exceed what is tolerated before keys move; an
+        excess that may be due to chance moves none.
+    pinned
+        Hot keys that were moved recently, and are not moved again by themselves.
     moving
-        Keys on their way to an owner: they are part of its load, and stay as they are.
-    certainty
-        Standard deviations by which a load must be above what is tolerated; a load that is too
-        high by chance only is left where it is.
+        Keys that are being moved to an owner: they count as its load, and are not moved again.
     """
 
     def __init__(
@@ -145,16 +148,16 @@
         capacities: Mapping[str, float],
         load: KeyLoad,
         now: Seconds,
-        certainty: float = 0.0,
-        settled: Collection[int] = (),
+        required_deviations: float = 0.0,
+        pinned: Collection[int] = (),
         moving: Sequence[OwnedPiece] = (),
     ) -> None:
-        self.parted: list[int] = []
+        self.moved_hot_keys: list[int] = []
         self._capacities = capacities
-        self._settled = settled
+        self._pinned = pinned
         self._key_load = load
         self._now = now
-        self._certainty = certainty
+        self._required_deviations = required_deviations
         self._rates = {
             piece: load.rates(piece.first, piece.last, now)
             for piece in pieces
@@ -169,85 +172,90 @@
         self._balanced = balanced_capacities(capacities, self._load) if capacities else {}
 
     def moves(self) -> list[PlannedMove]:
-        """Plan what to move now."""
+        """Plan the moves that are due now."""
         planned: list[PlannedMove] = []
-        stuck: set[str] = set()
-        most = max(FEWEST_MOVES_AT_ONCE, len(self._capacities))
-        while len(planned) < most:
-            heavy = self._pick(max, stuck)
+        unmovable: set[str] = set()
+        max_moves = max(BASE_MAX_MOVES, len(self._capacities))
+        while len(planned) < max_moves:
+            heavy = self._pick_overloaded(max, unmovable)
             if heavy is None:
                 break
-            move = self._relieve(heavy)
+            move = self._plan_move(heavy)
             if move is None:
-                stuck.add(heavy)
+                unmovable.add(heavy)
             else:
                 planned.append(move)
         return planned
 
     def uses(self) -> dict[str, float]:
-        """Part of each back end's capacity that its keys' requests need."""
+        """Return the utilization of each back end: the load of its keys by its capacity."""
         return {name: load / self._capacities[name] for name, load in self._load.items()}
 
-    def _use(self, backend_id: str) -> float:
-        """Load as a part of what it is meant to have when all are fully used."""
+    def _utilization(self, backend_id: str) -> float:
+        """Return the load as a part of the balanced capacity."""
         return self._load[backend_id] / self._balanced[backend_id]
 
-    def _mean_use(self) -> float:
+    def _mean_utilization(self) -> float:
         return sum(self._load.values()) / sum(self._balanced.values())
 
-    def _pick(self, best: Callable[..., str], stuck: set[str]) -> str | None:
-        left = [backend_id for backend_id in self._load if backend_id not in stuck]
+    def _pick_overloaded(self, best: Callable[..., str], unmovable: set[str]) -> str | None:
+        left = [backend_id for backend_id in self._load if backend_id not in unmovable]
         if not left:
             return None
-        heavy = best(left, key=self._use)
-        use = self._use(heavy)
-        doubt = self._certainty * self._key_load.deviation(self._load[heavy], self._now)
-        excess = TOLERATED_HIGH_EXCESS if use >= HIGH_USE else TOLERATED_EXCESS
-        tolerated = excess * self._mean_use() + doubt / self._balanced[heavy]
-        if self._load[heavy] < LEAST_USE * self._capacities[heavy] or use < tolerated:
+        heavy = best(left, key=self._utilization)
+        utilization = self._utilization(heavy)
+        margin = self._required_deviations * self._key_load.deviation(self._load[heavy], self._now)
+        excess = (
+            MAX_RELATIVE_HIGH_UTILIZATION
+            if utilization >= HIGH_UTILIZATION
+            else MAX_RELATIVE_UTILIZATION
+        )
+        tolerated = excess * self._mean_utilization() + margin / self._balanced[heavy]
+        if self._load[heavy] < MIN_UTILIZATION * self._capacities[heavy] or utilization < tolerated:
             return None
         return heavy
 
-    def _relieve(self, heavy: str) -> PlannedMove | None:
-        light = min(self._load, key=self._use)
-        mean = self._mean_use()
+    def _plan_move(self, heavy: str) -> PlannedMove | None:
+        light = min(self._load, key=self._utilization)
+        mean = self._mean_utilization()
         excess = self._load[heavy] - mean * self._balanced[heavy]
         room = mean * self._balanced[light] - self._load[light]
-        wanted = min(excess, room)
-        if wanted < SMALLEST_MOVE * self._capacities[light]:
-            return self._part_hot_key(heavy)
-        found = self._best_cut(heavy, wanted)
+        load_to_move = min(excess, room)
+        if load_to_move < MIN_MOVE_PART * self._capacities[light]:
+            return self._move_hot_key(heavy)
+        found = self._best_cut(heavy, load_to_move)
         if found is None:
-            return self._part_hot_key(heavy)
-        return self._carry_out(found, light)
+            return self._move_hot_key(heavy)
+        return self._apply_cut(found, light)
 
-    def _carry_out(self, found: Cut, light: str) -> PlannedMove:
-        self._take_out(found.piece, found.first, found.last)
+    def _apply_cut(self, found: Cut, light: str) -> PlannedMove:
+        self._remove_keys(found.piece, found.first, found.last)
         self._load[found.piece.owner] -= found.amount
         self._load[light] += found.amount
         return PlannedMove(found.first, found.last, light)
 
-    def _part_hot_key(self, heavy: str) -> PlannedMove | None:
-        """Move one key that fits nowhere below the mean, if that lowers the highest use.
+    def _move_hot_key(self, heavy: str) -> PlannedMove | None:
+        """Move one key that fits nowhere below the mean, if that lowers the highest utilization.
 
-        Its next owner is then the most used one, and is relieved of its other keys. A key that is
-        too much for any back end gains nothing by moves, unless to a much faster one.
+        Its next owner may then have the highest utilization, and gives up its other keys. Moving a
+        key whose load exceeds the capacity of any back end helps only if the next owner is much
+        faster.
         """
         others = [name for name in self._load if name != heavy]
         if not others:
             return None
         for cut in sorted(self._single_keys(heavy), key=lambda item: item.amount):
-            if cut.single in self._settled:
+            if cut.loaded_key in self._pinned:
                 continue
-            light = min(others, key=lambda name: self._use_with(name, cut.amount))
-            is_hopeless = cut.amount > self._capacities[light]
-            gain = MUCH_FASTER if is_hopeless else 1.0 / WORTHWHILE
-            if self._use_with(light, cut.amount) * gain < self._use(heavy):
-                self.parted += [cut.single] if cut.single is not None else []
-                return self._carry_out(cut, light)
+            light = min(others, key=lambda name: self._utilization_with(name, cut.amount))
+            is_oversized = cut.amount > self._capacities[light]
+            gain = OVERSIZED_KEY_SPEED_RATIO if is_oversized else 1.0 / HOT_KEY_MOVE_RATIO
+            if self._utilization_with(light, cut.amount) * gain < self._utilization(heavy):
+                self.moved_hot_keys += [cut.loaded_key] if cut.loaded_key is not None else []
+                return self._apply_cut(cut, light)
         return None
 
-    def _use_with(self, backend_id: str, amount: float) -> float:
+    def _utilization_with(self, backend_id: str, amount: float) -> float:
         return (self._load[backend_id] + amount) / self._balanced[backend_id]
 
     def _single_keys(self, heavy: str) -> list[Cut]:
@@ -261,21 +269,24 @@
             cuts.append(Cut(piece, position, piece.last, rate, position))
         return cuts
 
-    def _best_cut(self, heavy: str, wanted: float) -> Cut | None:
-        """Find the part at one end of a piece whose load is near what is wanted, with few keys."""
+    def _best_cut(self, heavy: str, load_to_move: float) -> Cut | None:
+        """Find a cut whose load comes close to `load_to_move` from below, with few keys."""
         cuts: list[Cut] = []
         for piece, rates in self._rates.items():
             if piece.owner != heavy or not rates:
                 continue
-            for found in (_cut_low(piece, rates, wanted), _cut_high(piece, rates, wanted)):
+            for found in (
+                _cut_low(piece, rates, load_to_move),
+                _cut_high(piece, rates, load_to_move),
+            ):
                 if found is not None:
                     cuts.append(found)
         if not cuts:
             return None
-        enough = SAME_AMOUNT * max(cut.amount for cut in cuts)
+        enough = EQUIVALENT_CUT_RATIO * max(cut.amount for cut in cuts)
         return min((cut for cut in cuts if cut.amount >= enough), key=lambda cut: cut.size)
 
-    def _take_out(self, piece: OwnedPiece, first: int, last: int) -> None:
+    def _remove_keys(self, piece: OwnedPiece, first: int, last: int) -> None:
         rates = self._rates.pop(piece)
         for left_first, left_last in ((piece.first, first - 1), (last + 1, piece.last)):
             if left_first <= left_last:
@@ -283,12 +294,12 @@
                 self._rates[OwnedPiece(left_first, left_last, piece.owner)] = kept
 
 
-def _cut_low(piece: OwnedPiece, rates: list[tuple[int, float]], wanted: float) -> Cut | None:
-    """From the piece's first key on, as much as is wanted at most."""
+def _cut_low(piece: OwnedPiece, rates: list[tuple[int, float]], load_to_move: float) -> Cut | None:
+    """Cut keys from the start of a piece, up to `load_to_move`."""
     amount = 0.0
     last = None
     for position, rate in rates:
-        if amount + rate > wanted:
+        if amount + rate > load_to_move:
             break
         amount += rate
         last = position
@@ -297,12 +308,12 @@
     return Cut(piece, piece.first, piece.last if last == rates[-1][0] else last, amount)
 
 
-def _cut_high(piece: OwnedPiece, rates: list[tuple[int, float]], wanted: float) -> Cut | None:
-    """Up to the piece's last key, as much as is wanted at most."""
+def _cut_high(piece: OwnedPiece, rates: list[tuple[int, float]], load_to_move: float) -> Cut | None:
+    """Cut keys from the end of a piece, up to `load_to_move`."""
     amount = 0.0
     first = None
     for position, rate in reversed(rates):
-        if amount + rate > wanted:
+        if amount + rate > load_to_move:
             break
         amount += rate
         first = position
--- a/src/limedeck/ownership/range_map.py
+++ b/src/limedeck/ownership/range_map.py
@@ -40,14 +40,14 @@
         """How many ranges each owner has."""
         return Counter(item.owner for item in self.ranges)
 
-    def of_order(self, order: Grant | Release) -> RangeState | None:
+    def find_by_order(self, order: Grant | Release) -> RangeState | None:
         """Find the range that an order was for, unless it has changed since."""
         for item in self.ranges:
             if (item.first, item.last, item.fence) == (order.first, order.last, order.fence):
                 return item
         return None
 
-    def within(self, order: Grant | Release) -> list[RangeState]:
+    def find_within(self, order: Grant | Release) -> list[RangeState]:
         """Find the ranges that an order was for, but those that have changed since."""
         return [
             item
@@ -62,11 +62,11 @@
                 continue
             pieces = [item]
             if first > item.first:
-                pieces.append(pieces[-1].cut(first))
+                pieces.append(pieces[-1].split_at(first))
             if last < pieces[-1].last:
-                pieces.append(pieces[-1].cut(last + 1))
+                pieces.append(pieces[-1].split_at(last + 1))
             if len(pieces) > 1:
-                self._renew(pieces)
+                self._assign_new_fences(pieces)
             self.ranges[index : index + 1] = pieces
             return next(piece for piece in pieces if piece.first == first)
         return None
@@ -76,14 +76,14 @@
         merged: list[RangeState] = []
         for item in self.ranges:
             last = merged[-1] if merged else None
-            if last is None or last.owner != item.owner or not (last.is_calm and item.is_calm):
+            if last is None or last.owner != item.owner or not (last.is_stable and item.is_stable):
                 merged.append(item)
                 continue
             last.last = item.last
             last.held_until = max(last.held_until, item.held_until)
             last.sent_until = max(last.sent_until, item.sent_until)
             last.confirmed_until = min(last.confirmed_until, item.confirmed_until)
-            self._renew([last])
+            self._assign_new_fences([last])
         self.ranges = merged
 
     def check(self) -> None:
@@ -96,7 +96,7 @@
         if self.ranges and expected != self._key_positions:
             raise InvariantViolation("ranges-cover-all-keys", f"end at {expected}")
 
-    def _renew(self, pieces: Iterable[RangeState]) -> None:
+    def _assign_new_fences(self, pieces: Iterable[RangeState]) -> None:
         """Grant pieces of a former range anew, under fences of their own."""
         for piece in pieces:
             piece.fence = self._fences.next()
--- a/src/limedeck/ownership/ranges.py
+++ b/src/limedeck/ownership/ranges.py
@@ -83,12 +83,12 @@
         return self.last - self.first + 1
 
     @property
-    def is_calm(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether its owner has confirmed it, and nothing is to be handed over."""
         return self.phase is Phase.OWNED and self.confirmed_until != NEVER and not self.handover
 
     @property
-    def visible_owner(self) -> str:
+    def routable_owner(self) -> str:
         """Who may be sent requests for these keys, or `NO_OWNER`.
 
         An owner that is silent may have its keys yet; one that leaves, or is relieved, gives them
@@ -111,9 +111,9 @@
         self.next_order = NEVER
         self.order_pending = False
 
-    def cut(self, position: int) -> RangeState:
+    def split_at(self, position: int) -> RangeState:
         """Keep the keys below a position, and return the rest as a range like this one."""
-        rest = RangeState(
+        upper = RangeState(
             position,
             self.last,
             self.owner,
@@ -129,4 +129,4 @@
             self.cause,
         )
         self.last = position - 1
-        return rest
+        return upper
--- a/src/limedeck/ownership/recording.py
+++ b/src/limedeck/ownership/recording.py
@@ -10,7 +10,7 @@
 from limedeck.ownership.commands import WriteRecord
 from limedeck.ownership.ranges import RangeState
 
-Choice = tuple[RangeState, str]
+OwnerChoice = tuple[RangeState, str]
 """A free range and its next owner."""
 
 
@@ -28,7 +28,7 @@
         self._term = term
         self._sequence = sequence
         self._row_version = row_version
-        self._pending: list[Choice] | None = None
+        self._pending: list[OwnerChoice] | None = None
 
     @property
     def is_pending(self) -> bool:
@@ -36,7 +36,7 @@
         return self._pending is not None
 
     def write(
-        self, chosen: list[Choice], ranges: Iterable[RangeState], now: Seconds
+        self, chosen: list[OwnerChoice], ranges: Iterable[RangeState], now: Seconds
     ) -> WriteRecord:
         """Write the next owners of free ranges."""
         for found, _ in chosen:
@@ -46,7 +46,7 @@
         self._sequence += 1
         return WriteRecord(self._record(chosen, ranges), self._row_version)
 
-    def take_written(self, row_version: int) -> Sequence[Choice]:
+    def complete_write(self, row_version: int) -> Sequence[OwnerChoice]:
         """The store took the record; return the choices that stand there now."""
         pending = self._pending
         if pending is None:
@@ -65,7 +65,7 @@
         """Whether a record that stands in the store is the one that was written last."""
         return record is not None and (record.term, record.sequence) == (self._term, self._sequence)
 
-    def _record(self, chosen: list[Choice], ranges: Iterable[RangeState]) -> AssignmentRecord:
+    def _record(self, chosen: list[OwnerChoice], ranges: Iterable[RangeState]) -> AssignmentRecord:
         owners = {found.first: owner for found, owner in chosen}
         record = AssignmentRecord(term=self._term, sequence=self._sequence)
         for item in ranges:
--- a/src/limedeck/ownership/service.py
+++ b/src/limedeck/ownership/service.py
@@ -1,14 +1,14 @@
-"""The leader's core for one service: grants, releases, and the record of owners.
+"""State machine by which the leader assigns the keys of one service: grants, releases, record.
 
-The loop in `ServiceOwnership.handle_tick` reads as its documentation:
+`ServiceOwnership.handle_tick` does the following:
 
-1. A range whose owner may keep it is granted again before its lease ends (`renewal`).
-2. A range whose owner leaves, or is to be relieved, is released there under a fence above all
-   grants ever sent for it (`releasing`). Only the owner's answer, the end of every lease, or a
-   later life of the owner that refuses them (`barriers`), frees it.
-3. A free range gets its next owner in the store's record first (`recording`), and a grant only
-   after that.
-4. Ranges move to where there is room for their load (`balancing`).
+1. It renews the grant of each range that stays with its owner, before the lease ends (`renewal`).
+2. It releases each range whose owner leaves or has to give up load, under a fence above those of
+   all grants sent for it (`releasing`). The range becomes free only by the owner's response, the
+   end of every lease, or a later incarnation of the owner that refuses such grants (`barriers`).
+3. It writes the next owner of a free range to the record in the store (`recording`), and sends the
+   grant only after that.
+4. It moves ranges to back ends that have capacity for their load (`balancing`).
 """
 
 from __future__ import annotations
@@ -27,27 +27,27 @@
 from limedeck.ownership.fences import FenceCounter
 from limedeck.ownership.key_load import KeyLoad
 from limedeck.ownership.orders import Grant, Release
-from limedeck.ownership.owner_liveness import OwnerSilence
-from limedeck.ownership.planning import PlannedMove, first_assignment, least_loaded
+from limedeck.ownership.owner_liveness import OwnerLiveness
+from limedeck.ownership.planning import PlannedMove, initial_assignment, least_loaded
 from limedeck.ownership.range_map import RangeMap
 from limedeck.ownership.ranges import NO_OWNER, OwnerChangeCause, Phase, RangeState
-from limedeck.ownership.recording import Choice, OwnerRecord
+from limedeck.ownership.recording import OwnerChoice, OwnerRecord
 from limedeck.ownership.releasing import begin_release, due_releases, end_release
 from limedeck.ownership.renewal import Renewals
 from limedeck.ownership.timing import OwnershipTiming
 
 
 class ServiceOwnership:
-    """Owners of one service's keys, while this node leads.
+    """Ownership of one service's keys, while this node leads.
 
     Parameters
     ----------
     key_positions
-        Keys are numbers from 0 up to this, which is excluded.
+        Number of key positions; keys are mapped to positions from 0 to `key_positions - 1`.
     term
-        Of this leader.
+        Term of this leader.
     record, row_version
-        What the store holds; None and zero if nothing yet.
+        Record in the store and the version of its row; None and zero if there is none.
     """
 
     def __init__(
@@ -70,17 +70,17 @@
         self._fences = FenceCounter(term)
         self._map = RangeMap(key_positions, self._fences)
         self._barriers = Barriers(key_positions, self._fences)
-        self._silence = OwnerSilence(timing, now)
-        self._renewals = Renewals(timing, self._silence)
+        self._liveness = OwnerLiveness(timing, now)
+        self._renewals = Renewals(timing, self._liveness)
         self._balance = LoadBalance(key_positions, timing.balance_interval, now)
         self._record = OwnerRecord(service, term, record.sequence if record else 0, row_version)
         self._backends: dict[str, Backend] = {}
-        self._first_seen_at: Seconds | None = None
-        self._newest_seen_at: Seconds = now
+        self._first_backend_at: Seconds | None = None
+        self._last_new_backend_at: Seconds = now
         self._range_counts: Counter[str] = Counter()
         self._commands: list[OwnershipCommand] = []
         self._published: tuple[OwnedRange, ...] = ()
-        self._alone = False
+        self._former_leaders_ended = False
         self._may_move = True
         self._draining_since: dict[str, Seconds] = {}
         self._failing: frozenset[str] = frozenset()
@@ -89,23 +89,23 @@
 
     @property
     def ranges(self) -> list[RangeState]:
-        """All ranges, in the order of their keys."""
+        """All ranges, ordered by key position."""
         return self._map.ranges
 
     @property
     def load(self) -> KeyLoad:
-        """Requests a second by key."""
+        """Requests per second by key."""
         return self._balance.load
 
     @property
     def uses(self) -> dict[str, float]:
-        """By owner, the load of its keys as a part of what it bears."""
+        """Utilization by owner: the load of its keys as a part of its capacity."""
         return self._balance.uses
 
     # ------------------------------------------------------------------ events
 
     def set_backends(self, backends: Iterable[Backend], now: Seconds) -> None:
-        """The listing of this service's back ends has changed."""
+        """Replace the list of this service's back ends."""
         known = self._backends.keys()
         self._backends = {item.backend_id: item for item in backends}
         self._draining_since = {
@@ -115,26 +115,26 @@
         }
         new = self._backends.keys() - known
         if new:
-            self._newest_seen_at = now
+            self._last_new_backend_at = now
         if new and self.ranges:
-            # Those who own keys by the record are granted them under new fences anyway.
+            # Owners in the record need no barrier: they get grants under new fences anyway.
             self._barriers.require(new - {item.owner for item in self.ranges})
-        self._barriers.keep_only(self._backends)
-        if self._backends and self._first_seen_at is None:
-            self._first_seen_at = now
+        self._barriers.retain(self._backends)
+        if self._backends and self._first_backend_at is None:
+            self._first_backend_at = now
 
     def handle_grant_answer(
         self, order: Grant, done: bool, fenced_off: bool, sent_at: Seconds, now: Seconds
     ) -> None:
-        """A back end answered a grant."""
-        self._silence.note_heard(order.backend_id)
-        found = self._map.of_order(order)
+        """Handle a back end's response to a grant."""
+        self._liveness.record_order_response(order.backend_id)
+        found = self._map.find_by_order(order)
         if found is None:
             return
         found.order_pending = False
         if done:
             owned_ranges = self._range_counts[found.owner]
-            self._renewals.note_done(found, order, sent_at, owned_ranges, now)
+            self._renewals.record_granted(found, order, sent_at, owned_ranges, now)
         elif fenced_off:
             self.fenced_off = True
             found.next_order = now + self._timing.renewal_interval
@@ -144,114 +144,117 @@
     def handle_release_answer(
         self, order: Release, done: bool, handover: str, now: Seconds
     ) -> None:
-        """A back end answered a release."""
-        self._silence.note_heard(order.backend_id)
-        if self._barriers.handle_answer(order, done, now):
+        """Handle a back end's response to a release."""
+        self._liveness.record_order_response(order.backend_id)
+        if self._barriers.handle_response(order, done, now):
             return
-        for found in self._map.within(order):
+        for found in self._map.find_within(order):
             if found.phase is not Phase.RELEASING:
                 continue
             found.order_pending = False
-            found.next_order = now + self._timing.refused_release_pause
+            found.next_order = now + self._timing.refused_release_retry_delay
             if done:
                 end_release(found, handover, now)
 
     def handle_order_lost(self, order: Grant | Release, now: Seconds) -> None:
-        """An order had no answer; it may be taken yet."""
-        self._silence.avoid_longer(order.backend_id, now)
-        if isinstance(order, Release) and self._barriers.handle_answer(order, False, now):
+        """Handle an order without a response; the back end may still carry it out."""
+        self._liveness.extend_avoidance(order.backend_id, now)
+        if isinstance(order, Release) and self._barriers.handle_response(order, False, now):
             return
-        for found in self._map.within(order):
+        for found in self._map.find_within(order):
             found.order_pending = False
             found.next_order = now
             if found.phase is Phase.RELEASING and found.cause is OwnerChangeCause.BALANCE:
                 found.cause = OwnerChangeCause.SILENT
                 found.target = NO_OWNER
-                self._silence.avoid(order.backend_id, now)
+                self._liveness.avoid(order.backend_id, now)
 
     def handle_record_written(self, row_version: int) -> None:
-        """The store took the record."""
-        for found, owner in self._record.take_written(row_version):
+        """Handle the store's confirmation that the record was written."""
+        for found, owner in self._record.complete_write(row_version):
             change = OwnerChange(found.first, found.last, found.owner, owner, found.cause)
             self.changes.append(change)
-            self._silence.note_new_owner(owner)
+            self._liveness.record_new_owner(owner)
             found.begin_ownership(owner, self._fences.next())
 
     def handle_record_failed(self) -> None:
-        """The record may or may not have been written; the same is written again."""
+        """Handle a write that may or may not have succeeded; the same record is written again."""
         self._record.handle_failed()
 
     def handle_record_conflict(self, record: AssignmentRecord | None, row_version: int) -> None:
-        """A condition of the write did not hold: it was done before, or there is a later leader."""
+        """Handle a failed condition: the record was written already, or there is a later leader."""
         if self._record.is_own_record(record):
             self.handle_record_written(row_version)
         else:
             self.fenced_off = True
 
     def handle_former_leaders_ended(self, now: Seconds) -> None:
-        """No earlier leader can have sent a grant after now."""
-        if self._alone:
+        """Shorten the wait for old leases: no earlier leader sends grants from `now` on."""
+        if self._former_leaders_ended:
             return
-        self._alone = True
+        self._former_leaders_ended = True
         latest = now + self._timing.longest_lease + self._timing.order_timeout
         for item in self.ranges:
             item.held_until = min(item.held_until, latest)
 
     def record_requests(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
-        """A node tells how many requests it had by key."""
+        """Record one node's number of requests by key."""
         self._balance.record_requests(counts, now)
 
     def set_service_time(self, backend_id: str, service_time: Seconds) -> None:
-        """All nodes' answers tell how long a back end works on one request."""
+        """Set a back end's mean service time, as measured by all nodes together."""
         self._balance.set_service_time(backend_id, service_time)
 
     def set_limits(self, limits: Mapping[str, float], now: Seconds) -> None:
-        """Back ends in need take so many requests a second from all nodes together."""
+        """Set the rate limits that back ends state: requests per second from all nodes together."""
         self._balance.set_limits(limits, now)
 
-    def record_last_response(self, backend_id: str, answered_at: Seconds) -> None:
-        """A node told at this time that the back end had answered a request."""
-        self._silence.record_last_response(backend_id, answered_at)
+    def record_last_response(self, backend_id: str, responded_at: Seconds) -> None:
+        """Record when a node last reported a response of the back end to a request."""
+        self._liveness.record_last_response(backend_id, responded_at)
 
     def set_failing(self, backend_ids: Iterable[str]) -> None:
-        """These fail more often than the others; their keys go to others as long as there are."""
+        """Set the back ends that fail more often than others; they lose their keys if possible."""
         self._failing = frozenset(backend_ids)
 
-    # ------------------------------------------------------------------ the loop
+    # ------------------------------------------------------------------ periodic work
 
     def handle_tick(
         self, may_renew: bool, now: Seconds, may_yield: bool = False, may_move: bool = True
     ) -> list[OwnershipCommand]:
-        """Do what is due; see the module's documentation.
+        """Return the commands that are due; see the documentation of the module.
 
         Parameters
         ----------
+        may_renew
+            Whether grants may be renewed.
         may_yield
-            Another node could lead. If `doubts_itself` is set by this call it should: this one is
-            not heard by owners that are sound, and takes no keys from them for that.
+            Whether another node could lead. If this call sets `doubts_itself`, another node should:
+            many owners respond to other nodes and not to this one, which then takes no keys from
+            owners for that.
         may_move
             Whether released keys can be assigned soon. If not, no keys are moved for balance, and a
-            leaving owner keeps its keys until nodes stop sending requests to it.
+            leaving owner keeps its keys until nodes no longer send requests to it.
         """
         if not self.ranges:
-            self._assign_first(now)
+            self._assign_initially(now)
         self._range_counts = self._map.counts()
         owners = self._range_counts.keys() - {NO_OWNER}
-        self.doubts_itself = may_yield and self._silence.is_own_fault(owners, now)
+        self.doubts_itself = may_yield and self._liveness.is_leader_at_fault(owners, now)
         self._may_move = may_move
         for found in self.ranges:
             self._tick_range(found, may_renew, now)
         self._send_releases(now)
         self._commands += [SendRelease(order) for order in self._barriers.due(now)]
         self._record_free_ranges(now)
-        self._relieve(now)
+        self._rebalance(now)
         self._map.check()
         commands = self._commands
         self._commands = []
         return commands
 
     def move(self, moves: Iterable[PlannedMove]) -> None:
-        """Release keys at their owners, to give them to others."""
+        """Release keys at their owners, to assign them to other back ends."""
         for planned in moves:
             found = self._map.isolate(planned.first, planned.last)
             if found is not None and found.phase is Phase.OWNED:
@@ -259,7 +262,7 @@
 
     def _tick_range(self, found: RangeState, may_renew: bool, now: Seconds) -> None:
         if found.phase is Phase.OWNED:
-            cause = self._reason_to_move(found, now)
+            cause = self._release_cause(found, now)
             if cause is not None:
                 begin_release(found, cause, NO_OWNER, self._fences)
         if found.phase is Phase.OWNED and may_renew:
@@ -269,16 +272,16 @@
         elif found.phase is Phase.RELEASING and self._is_given_up(found, now):
             end_release(found, found.handover, now)
 
-    def _reason_to_move(self, found: RangeState, now: Seconds) -> OwnerChangeCause | None:
+    def _release_cause(self, found: RangeState, now: Seconds) -> OwnerChangeCause | None:
         owner = self._backends.get(found.owner)
         if owner is None and self._has_begun_again(found.owner):
-            # A grant would reach the later life, which is to take none that was meant for this one.
+            # A grant would reach the later incarnation, which must not accept it.
             return OwnerChangeCause.LEAVING
         if owner is None or owner.draining:
             may_leave = self._may_move or self._has_drained(found.owner, now)
             return OwnerChangeCause.LEAVING if may_leave and self._candidates(now) else None
-        if self._silence.is_silent(found.owner, now) and not self.doubts_itself:
-            self._silence.avoid(found.owner, now)
+        if self._liveness.is_presumed_failed(found.owner, now) and not self.doubts_itself:
+            self._liveness.avoid(found.owner, now)
             return OwnerChangeCause.SILENT
         is_failing = found.owner in self._failing and found.owner not in self._candidates(now)
         if is_failing and self._may_move:
@@ -286,7 +289,7 @@
         return None
 
     def _has_drained(self, owner: str, now: Seconds) -> bool:
-        """Whether a leaving owner no longer receives requests, or its entry is gone."""
+        """Whether a leaving owner no longer receives requests, or is no longer listed."""
         since = self._draining_since.get(owner, NEVER)
         return now - since >= LEAVING_OWNER_GRACE
 
@@ -294,10 +297,11 @@
         return any(is_later_incarnation(item, owner) for item in self._backends)
 
     def _is_given_up(self, found: RangeState, now: Seconds) -> bool:
-        """Whether its owner surely holds it no more, though it has not answered.
+        """Whether the owner certainly no longer holds the range, though it has not responded.
 
-        If the leader before is gone too, what that may have granted runs for 22 s; keys of owners
-        that were started again within a second had no owner for so long.
+        If the former leader has failed too, its grants may be in force for 22 s. Without the check
+        for a later incarnation, keys of owners that restarted within a second had no owner for so
+        long.
         """
         return now >= found.held_until or self._barriers.is_replaced(found.owner)
 
@@ -313,7 +317,7 @@
         if chosen:
             self._commands.append(self._record.write(chosen, self.ranges, now))
 
-    def _choose_owners(self, free: list[RangeState], now: Seconds) -> list[Choice]:
+    def _choose_owners(self, free: list[RangeState], now: Seconds) -> list[OwnerChoice]:
         candidates = self._candidates(now)
         if not candidates:
             return []
@@ -331,8 +335,8 @@
             chosen.append((item, target))
         return chosen
 
-    def _relieve(self, now: Seconds) -> None:
-        """Move keys off owners that have too much to do."""
+    def _rebalance(self, now: Seconds) -> None:
+        """Move keys away from owners with too much load."""
         if not self._may_move or not self._balance.is_due(now):
             return
         self._map.merge_neighbours()
@@ -340,21 +344,21 @@
         self.move(self._balance.moves(self.ranges, capacities, now))
 
     def _candidates(self, now: Seconds) -> list[str]:
-        """Back ends that may get keys; silent and failing ones only if there are no others."""
-        self._silence.end_avoidance(now)
+        """Return back ends that may get keys; unresponsive and failing ones only if no others."""
+        self._liveness.expire_avoidance(now)
         usable = sorted(
             key
             for key, item in self._backends.items()
-            if not item.draining and not self._barriers.is_missing(key)
+            if not item.draining and not self._barriers.is_unconfirmed(key)
         )
-        heard = [key for key in usable if not self._silence.is_avoided(key)] or usable
-        return [key for key in heard if key not in self._failing] or heard
+        responsive = [key for key in usable if not self._liveness.is_avoided(key)] or usable
+        return [key for key in responsive if key not in self._failing] or responsive
 
-    # ------------------------------------------------------------------ the beginning
+    # ------------------------------------------------------------------ initial state
 
     def _take_over(self, record: AssignmentRecord, now: Seconds) -> None:
-        """Go on from another leader's record: its grants may be in force at the owners."""
-        longest = self._timing.leader_patience + self._timing.longest_lease
+        """Start from another leader's record; grants of that leader may still be in force."""
+        longest = self._timing.max_unconfirmed_time + self._timing.longest_lease
         for item in record.ranges:
             state = RangeState(item.first, item.last, item.owner)
             state.phase = Phase.OWNED if item.owner else Phase.FREE
@@ -362,38 +366,38 @@
             state.held_until = now + longest if item.owner else NEVER
             self._map.add(state)
 
-    def _assign_first(self, now: Seconds) -> None:
-        if self._first_seen_at is None:
+    def _assign_initially(self, now: Seconds) -> None:
+        if self._first_backend_at is None:
             return
-        is_calm = now - self._newest_seen_at >= self._timing.settling
-        if not is_calm and now - self._first_seen_at < self._timing.longest_settling:
+        is_complete = now - self._last_new_backend_at >= self._timing.discovery_quiet_time
+        if not is_complete and now - self._first_backend_at < self._timing.max_discovery_time:
             return
-        for first, last, owner in first_assignment(self._candidates(now), self._key_positions):
+        for first, last, owner in initial_assignment(self._candidates(now), self._key_positions):
             state = RangeState(first, last)
             state.target = owner
             self._map.add(state)
 
-    # ------------------------------------------------------------------ what is told
+    # ------------------------------------------------------------------ reports
 
     def published(self, now: Seconds) -> tuple[OwnedRange, ...]:
-        """Owners that requests may be sent to; `version` rises when they change."""
-        ranges = merge_adjacent(self._visible_range(item, now) for item in self.ranges)
+        """Return the owners that may get requests; `version` increases when they change."""
+        ranges = merge_adjacent(self._published_range(item, now) for item in self.ranges)
         if ranges != self._published:
             self._published = ranges
             self.version += 1
         return self._published
 
     def unresponsive_owners(self, now: Seconds) -> int:
-        """Owners that have left an order unanswered for a while, for logs."""
+        """Count owners that have not responded to an order for `unresponsive_timeout`, for logs."""
         owners = {item.owner for item in self.ranges if item.owner}
-        return sum(self._silence.is_unheard(owner, now) for owner in owners)
+        return sum(self._liveness.is_unresponsive(owner, now) for owner in owners)
 
     def typical_service_time(self) -> Seconds:
-        """Mean over the back ends that were measured."""
+        """Return the mean service time of the back ends that were measured."""
         return self._balance.typical_service_time(self._backends.keys())
 
-    def _visible_range(self, item: RangeState, now: Seconds) -> OwnedRange:
-        owner = item.visible_owner
-        if owner and self._silence.is_lost(owner, now):
+    def _published_range(self, item: RangeState, now: Seconds) -> OwnedRange:
+        owner = item.routable_owner
+        if owner and self._liveness.is_unreachable(owner, now):
             return OwnedRange(item.first, item.last, NO_OWNER, item.held_until)
         return OwnedRange(item.first, item.last, owner)
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -166,10 +166,10 @@
 def test_renewals_end_when_the_store_is_silent_for_long() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
-    assert core.may_renew(TIMING.leader_patience - 0.1)
-    assert not core.may_renew(TIMING.leader_patience + 0.1)
+    assert core.may_renew(TIMING.max_unconfirmed_time - 0.1)
+    assert not core.may_renew(TIMING.max_unconfirmed_time + 0.1)
     core.handle_confirmed(10.0)
-    assert core.may_renew(TIMING.leader_patience + 5.0)
+    assert core.may_renew(TIMING.max_unconfirmed_time + 5.0)
 
 
 def test_a_leader_that_misses_the_store_is_followed_by_a_strong_machine() -> None:
@@ -194,22 +194,22 @@
     in_half_a_second = [number for at, number in stood if at < stood[0][0] + 0.5]
     assert len(in_half_a_second) <= 8
     assert all(number % 13 == 0 for number in in_half_a_second)
-    assert stood[0][0] < TIMING.cut_leader_patience + 2.0
+    assert stood[0][0] < TIMING.unconfirmed_leader_timeout + 2.0
 
 
 def test_machines_that_are_all_weak_do_not_wait_for_strong_ones() -> None:
-    equal = candidate_priority.CandidatePriority(0.43, TIMING.weakness_delay)
+    equal = candidate_priority.CandidatePriority(0.43, TIMING.max_weak_node_delay)
     equal.fleet = candidate_priority.describe_fleet([0.43] * 78)
-    assert equal.handicap == 0.0
-    assert equal.turn(0.0) == 0.0
-    weak = candidate_priority.CandidatePriority(0.43, TIMING.weakness_delay)
+    assert equal.weak_node_delay == 0.0
+    assert equal.staggered_delay(0.0) == 0.0
+    weak = candidate_priority.CandidatePriority(0.43, TIMING.max_weak_node_delay)
     weak.fleet = candidate_priority.describe_fleet([0.43, 2.15, 2.15])
-    assert weak.turn(0.0) > max(staggering.delay(1.0, 2), 0.0)
+    assert weak.staggered_delay(0.0) > max(staggering.delay(1.0, 2), 0.0)
 
 
 def test_a_leader_that_misses_the_store_is_replaced_if_its_confirmation_is_old() -> None:
     core = follower_of_other()
-    core.handle_heartbeat(4, TIMING.cut_leader_patience + 0.1, 100.2)
+    core.handle_heartbeat(4, TIMING.unconfirmed_leader_timeout + 0.1, 100.2)
     command, _ = campaign_of(core, LeaderReadResult(OTHER, 40, 2.5), 100.2)
     assert command.why is Suspicion.STORE_UNREACHABLE
 
@@ -275,7 +275,7 @@
             now += 0.01
         waits[processor] = now
     assert waits[2.15] == waits[1.0]
-    assert waits[0.43] - waits[1.0] == pytest.approx(0.57 * TIMING.weakness_delay, abs=0.02)
+    assert waits[0.43] - waits[1.0] == pytest.approx(0.57 * TIMING.max_weak_node_delay, abs=0.02)
 
 
 def test_a_resigned_leader_of_a_large_fleet_is_followed_by_a_strong_machine() -> None:
@@ -361,9 +361,9 @@
 def test_a_leader_yields_only_after_some_time_in_office() -> None:
     """Two nodes that fare alike would otherwise hand leadership to and fro."""
     core = leader_at(10.0)
-    core.handle_confirmed(10.0 + TIMING.yield_after - 0.2)
-    assert not core.may_yield(10.0 + TIMING.yield_after - 0.1)
-    assert core.may_yield(10.0 + TIMING.yield_after)
+    core.handle_confirmed(10.0 + TIMING.min_leadership_time - 0.2)
+    assert not core.may_yield(10.0 + TIMING.min_leadership_time - 0.1)
+    assert core.may_yield(10.0 + TIMING.min_leadership_time)
 
 
 def test_a_leader_does_not_yield_while_the_store_does_not_confirm_it() -> None:
@@ -380,7 +380,7 @@
     assert core.role is Role.FOLLOWER
     assert core.is_ineligible(15.0)
     now = 15.0
-    while now < 15.0 + TIMING.yield_rest:
+    while now < 15.0 + TIMING.yield_cooldown:
         command = core.handle_tick(now)
         assert not isinstance(command, Campaign)
         if isinstance(command, ReadLeader):
@@ -396,7 +396,7 @@
     core = leader_at(10.0)
     core.yield_leadership(15.0)
     seen = LeaderReadResult(core.record, 50, 0.1)
-    command, now = campaign_of(core, seen, 15.0 + TIMING.yield_rest)
+    command, now = campaign_of(core, seen, 15.0 + TIMING.yield_cooldown)
     core.handle_elected(command.record, 51, now)
     assert core.role is Role.LEADER
     assert not core.is_ineligible(now)
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -36,7 +36,7 @@
     seen = feed(detector, {3: 0.6}, 0.0, 4.0)
     assert any(excluded == {3} for _, excluded in seen)
     assert all(excluded <= {3} for _, excluded in seen)
-    sound = feed(detector, {}, 4.0, 4.0 + outliers.LONGEST_EXCLUSION + STEP)
+    sound = feed(detector, {}, 4.0, 4.0 + outliers.MAX_EXCLUSION_TIME + STEP)
     assert sound[-1][1] == frozenset()
 
 
@@ -51,7 +51,7 @@
             spans.append(now - begin)
             begin = None
     assert spans[:3] == [1.5, 3.0, 6.0]
-    assert max(spans) <= outliers.LONGEST_EXCLUSION + STEP
+    assert max(spans) <= outliers.MAX_EXCLUSION_TIME + STEP
 
 
 def test_errors_that_come_from_all_alike_exclude_nobody() -> None:
@@ -98,13 +98,13 @@
     @invariant()
     def bounds_hold(self) -> None:
         excluded = self.detector.excluded(SERVICES, self.now)
-        assert len(excluded) <= outliers.MOST_EXCLUDED * COUNT
+        assert len(excluded) <= outliers.MAX_EXCLUDED_PART * COUNT
         for backend in list(self.since):
             if backend not in excluded:
                 del self.since[backend]
         for backend in excluded:
             since = self.since.setdefault(backend, self.now)
-            assert self.now - since <= outliers.LONGEST_EXCLUSION
+            assert self.now - since <= outliers.MAX_EXCLUSION_TIME
 
 
 OutlierMachine.TestCase.settings = settings(
--- a/tests/unit/test_planning_moves.py
+++ b/tests/unit/test_planning_moves.py
@@ -8,21 +8,21 @@
 
 import pytest
 
-from limedeck.ownership.balancing import CERTAINTY, LASTING_CERTAINTY
+from limedeck.ownership.balancing import LONG_DECAY_REQUIRED_DEVIATIONS, REQUIRED_DEVIATIONS
 from limedeck.ownership.key_load import (
-    FIRST_SPAN,
-    LASTING_MEMORY,
-    MEMORY,
-    RECENT_MEMORY,
+    DECAY_TIME,
+    LONG_DECAY_TIME,
+    MIN_MEASURED_TIME,
+    SHORT_DECAY_TIME,
     KeyLoad,
 )
 from limedeck.ownership.planning import (
-    TOLERATED_EXCESS,
+    MAX_RELATIVE_UTILIZATION,
     BalancePlan,
     OwnedPiece,
     PlannedMove,
     balanced_capacities,
-    first_assignment,
+    initial_assignment,
 )
 
 NOW = 100.0
@@ -32,9 +32,9 @@
     """Loads as they are after a long time at these rates."""
     load = KeyLoad(NOW)
     load.add([(key, 1) for key in rates], NOW)
-    load._since = NOW - 100.0
+    load._measured_since = NOW - 100.0
     for key, rate in rates.items():
-        load._weights[key] = rate * MEMORY
+        load._weights[key] = rate * DECAY_TIME
     return load
 
 
@@ -82,10 +82,10 @@
 
 
 def test_first_ranges_cover_all_keys_without_gaps() -> None:
-    ranges = first_assignment(["a", "b", "c"], 100)
+    ranges = initial_assignment(["a", "b", "c"], 100)
     assert ranges[0][0] == 0 and ranges[-1][1] == 99
     assert all(left[1] + 1 == right[0] for left, right in itertools.pairwise(ranges))
-    assert first_assignment([], 100) == []
+    assert initial_assignment([], 100) == []
 
 
 def test_even_load_moves_nothing() -> None:
@@ -96,7 +96,7 @@
 def test_a_hot_stretch_is_spread() -> None:
     rates = {key: 2.0 for key in range(20, 50)}
     _, loads = planned_until_quiet(PIECES, EVEN, rates)
-    assert max(loads.values()) <= TOLERATED_EXCESS * 20.0 + 2.0
+    assert max(loads.values()) <= MAX_RELATIVE_UTILIZATION * 20.0 + 2.0
 
 
 def test_two_very_hot_keys_part() -> None:
@@ -167,7 +167,7 @@
     load = KeyLoad(0.0)
     load.add([(5, 30)], 0.0)
     early = load.total(0, 10, 0.0)
-    assert load.total(0, 10, MEMORY) < 0.4 * early
+    assert load.total(0, 10, DECAY_TIME) < 0.4 * early
     load.add([(6, 1)], 100.0)
     assert [key for key, _ in load.rates(0, 10, 100.0)] == [6]
 
@@ -176,7 +176,7 @@
     """Found at the start of quiet days: a hot stretch was seen at its load after seconds only."""
     load = KeyLoad(0.0)
     for step in range(1, 4):
-        load.add([(5, 10)], 10.0 + step * FIRST_SPAN)
+        load.add([(5, 10)], 10.0 + step * MIN_MEASURED_TIME)
     assert load.total(0, 10, 11.5) == pytest.approx(20.0, rel=0.2)
 
 
@@ -185,17 +185,17 @@
     """Found on quiet days: keys moved all the time, since small loads never look even."""
     source = random.Random(seed)
     load = KeyLoad(0.0)
-    recent = KeyLoad(0.0, RECENT_MEMORY)
+    recent = KeyLoad(0.0, SHORT_DECAY_TIME)
     pieces = [OwnedPiece(i * 20, i * 20 + 19, f"b{i}") for i in range(14)]
     capacities = dict.fromkeys((piece.owner for piece in pieces), 16.0)
     moves = 0
     for step in range(60):
-        now = step * FIRST_SPAN
+        now = step * MIN_MEASURED_TIME
         counts = Counter(source.randrange(280) for _ in range(source.randrange(50, 63)))
         load.add(counts.items(), now)
         recent.add(counts.items(), now)
         for item in (load, recent):
-            moves += len(BalancePlan(pieces, capacities, item, now, CERTAINTY).moves())
+            moves += len(BalancePlan(pieces, capacities, item, now, REQUIRED_DEVIATIONS).moves())
     assert moves <= 6
 
 
@@ -203,30 +203,34 @@
 def test_small_differences_by_chance_move_few_keys(seed: int) -> None:
     """What is measured over seconds has some chance left; it must not keep keys on the move."""
     source = random.Random(seed)
-    lasting = KeyLoad(0.0, LASTING_MEMORY)
+    lasting = KeyLoad(0.0, LONG_DECAY_TIME)
     pieces = [OwnedPiece(i * 20, i * 20 + 19, f"b{i}") for i in range(14)]
     capacities = dict.fromkeys((piece.owner for piece in pieces), 16.0)
     moved = 0
     for step in range(120):
-        now = step * FIRST_SPAN
+        now = step * MIN_MEASURED_TIME
         counts = Counter(source.randrange(280) for _ in range(source.randrange(50, 63)))
         lasting.add(counts.items(), now)
-        moves = BalancePlan(pieces, capacities, lasting, now, LASTING_CERTAINTY).moves()
+        moves = BalancePlan(
+            pieces, capacities, lasting, now, LONG_DECAY_REQUIRED_DEVIATIONS
+        ).moves()
         moved += sum(move.last - move.first + 1 for move in moves)
         pieces = current(pieces, moves)
     assert moved <= 280 * 0.35
 
 
 def test_a_surge_shows_within_a_second() -> None:
-    load = KeyLoad(0.0, RECENT_MEMORY)
+    load = KeyLoad(0.0, SHORT_DECAY_TIME)
     pieces = [OwnedPiece(i * 20, i * 20 + 19, f"b{i}") for i in range(14)]
     capacities = dict.fromkeys((piece.owner for piece in pieces), 33.0)
     even = [(key, 1) for key in range(0, 280, 5)]
     for step in range(20):
-        load.add(even, step * FIRST_SPAN)
+        load.add(even, step * MIN_MEASURED_TIME)
     for step in (20, 21):
-        load.add([*even, *((key, 1) for key in range(40, 60))], step * FIRST_SPAN)
-    assert BalancePlan(pieces, capacities, load, 21 * FIRST_SPAN, CERTAINTY).moves()
+        load.add([*even, *((key, 1) for key in range(40, 60))], step * MIN_MEASURED_TIME)
+    assert BalancePlan(
+        pieces, capacities, load, 21 * MIN_MEASURED_TIME, REQUIRED_DEVIATIONS
+    ).moves()
 
 
 def test_a_key_that_is_too_much_for_any_back_end_keeps_its_owner() -> None:
@@ -247,9 +251,9 @@
 
 def test_a_hot_key_that_has_settled_stays() -> None:
     rates = {40: 18.0, 41: 16.0}
-    plan = BalancePlan(PIECES, EVEN, load_of(rates), NOW, settled={40, 41})
+    plan = BalancePlan(PIECES, EVEN, load_of(rates), NOW, pinned={40, 41})
     assert plan.moves() == []
     free = BalancePlan(PIECES, EVEN, load_of(rates), NOW)
     assert free.moves()
-    assert set(free.parted) <= {40, 41}
-    assert free.parted
+    assert set(free.moved_hot_keys) <= {40, 41}
+    assert free.moved_hot_keys
--- a/tests/unit/test_service_ownership.py
+++ b/tests/unit/test_service_ownership.py
@@ -91,7 +91,7 @@
     play.run(3.0)
     assert play.owners() == [(0, 49, "a"), (50, 99, "b")]
     assert play.records[0][0] <= play.orders[0][0]
-    assert play.records[0][0] >= TIMING.settling
+    assert play.records[0][0] >= TIMING.discovery_quiet_time
 
 
 def test_a_successor_grants_the_same_keys_under_higher_fences_and_moves_nothing() -> None:
@@ -108,9 +108,9 @@
 def test_a_silent_owner_of_an_earlier_leader_is_waited_for_as_long_as_that_may_renew() -> None:
     """The first renewal without an answer must not shorten the wait."""
     play = taken_over({"b"})
-    play.run(TIMING.leader_patience - 0.1)
+    play.run(TIMING.max_unconfirmed_time - 0.1)
     assert play.records == []
-    play.run(TIMING.leader_patience + TIMING.longest_lease + 3.0)
+    play.run(TIMING.max_unconfirmed_time + TIMING.longest_lease + 3.0)
     assert [item.owner for item in play.records[-1][1].ranges] == ["a", "a"]
 
 
@@ -158,7 +158,7 @@
     play.run(9.0)
     moved = next(at for at, record in play.records if at > 3.0)
     assert moved >= last_end_of_grants(play, "b")
-    assert moved <= 3.0 + TIMING.renewal_interval + TIMING.holder_silence + 3.0
+    assert moved <= 3.0 + TIMING.renewal_interval + TIMING.owner_timeout + 3.0
     assert {owner for _, _, owner in play.owners()} == {"a"}
 
 
@@ -226,7 +226,7 @@
     play.run(3.0)
     play.core.record_last_response("b", 3.0)
     play.silent = {"b"}
-    play.run(3.5 + TIMING.loss_silence + 0.1)
+    play.run(3.5 + TIMING.unresponsive_timeout + 0.1)
     [(first, last, free_at)] = lost_ranges(play)
     assert (first, last) == (50, 99)
     play.run(9.0)
@@ -248,7 +248,7 @@
 
 def test_a_new_leader_waits_for_what_nodes_tell_before_it_takes_an_owner_for_lost() -> None:
     play = taken_over({"b"})
-    play.run(TIMING.following)
+    play.run(TIMING.follower_reconnect_time)
     play.core.record_last_response("b", play.now)
     assert lost_ranges(play) == []
 
@@ -456,11 +456,11 @@
     listed: list[Backend] = []
     now = 0.0
     for number in range(10):
-        now = number * 0.5 * TIMING.settling
+        now = number * 0.5 * TIMING.discovery_quiet_time
         listed.append(Backend(f"b{number}", "service", "127.0.0.1:1", "z", 2))
         core.set_backends(listed, now)
         assert core.handle_tick(True, now) == []
-    core.handle_tick(True, now + TIMING.settling)
+    core.handle_tick(True, now + TIMING.discovery_quiet_time)
     assert len(core.ranges) == 10
 
 
@@ -468,13 +468,13 @@
     core = ServiceOwnership("service", KEYS, 1, None, 0, TIMING, 0.0)
     now = 0.0
     listed: list[Backend] = []
-    while now < TIMING.longest_settling:
+    while now < TIMING.max_discovery_time:
         listed.append(Backend(f"b{len(listed)}", "service", "127.0.0.1:1", "z", 2))
         core.set_backends(listed, now)
         core.handle_tick(True, now)
         assert core.ranges == []
-        now += 0.5 * TIMING.settling
-    core.handle_tick(True, TIMING.longest_settling)
+        now += 0.5 * TIMING.discovery_quiet_time
+    core.handle_tick(True, TIMING.max_discovery_time)
     assert core.ranges
 
 
@@ -613,7 +613,7 @@
 def test_keys_of_a_life_wait_while_it_may_hold_them(listed: str, silent: set[str]) -> None:
     """A later life that has not answered yet may take what the earlier leader still sends."""
     play = taken_over_while_an_owner_began_again(listed, silent)
-    play.run(TIMING.leader_patience - 0.1)
+    play.run(TIMING.max_unconfirmed_time - 0.1)
     assert play.records == []
 
 
@@ -630,5 +630,5 @@
     core = ServiceOwnership("service", KEYS, 2, record, 9, TIMING, 0.0)
     core.set_backends([backend("a"), backend("b@3")], 0.0)
     play = Play(core, {"b@2"})
-    play.run(TIMING.leader_patience - 0.1)
+    play.run(TIMING.max_unconfirmed_time - 0.1)
     assert play.records == []
--- a/tests/unit/test_slow_leader.py
+++ b/tests/unit/test_slow_leader.py
@@ -70,7 +70,7 @@
     record = AssignmentRecord(term=1, sequence=1, ranges=ranges)
     core = ServiceOwnership("service", owners, 2, record, 1, OwnershipTiming(), 0.0)
     core.set_backends([Backend(name, "service", "127.0.0.1:1", "z", 2) for name in names], 0.0)
-    run(core, 0.0, 4.0, unheard=0, answering=owners)
+    run(core, 0.0, 4.0, unresponsive=0, answering=owners)
     return core
 
 
@@ -78,12 +78,12 @@
     core: ServiceOwnership,
     start: float,
     end: float,
-    unheard: int,
+    unresponsive: int,
     answering: int,
     may_yield: bool = True,
 ) -> bool:
     """Tick; the first owners answer no order. Return whether the core has doubted itself."""
-    silent = {f"b{number}" for number in range(unheard)}
+    silent = {f"b{number}" for number in range(unresponsive)}
     now, doubted = start, False
     while now < end:
         for number in range(answering):
@@ -109,23 +109,23 @@
 def test_owners_that_nobody_is_answered_by_lose_their_keys_however_many_they_are() -> None:
     core = core_of(12)
     # Answers of before the loss are no sign of life.
-    assert not run(core, 4.0, 9.0, unheard=8, answering=0)
+    assert not run(core, 4.0, 9.0, unresponsive=8, answering=0)
     assert causes(core) == {OwnerChangeCause.SILENT}
 
 
 def test_a_few_owners_that_only_this_leader_misses_lose_their_keys() -> None:
     core = core_of(12)
-    assert not run(core, 4.0, 9.0, unheard=4, answering=12)
+    assert not run(core, 4.0, 9.0, unresponsive=4, answering=12)
     assert causes(core) == {OwnerChangeCause.SILENT}
 
 
 def test_many_owners_that_only_this_leader_misses_keep_their_keys() -> None:
     core = core_of(12)
-    assert run(core, 4.0, 9.0, unheard=5, answering=12)
+    assert run(core, 4.0, 9.0, unresponsive=5, answering=12)
     assert causes(core) == set()
 
 
 def test_a_leader_that_nobody_could_follow_does_not_doubt_itself() -> None:
     core = core_of(12)
-    assert not run(core, 4.0, 9.0, unheard=8, answering=12, may_yield=False)
+    assert not run(core, 4.0, 9.0, unresponsive=8, answering=12, may_yield=False)
     assert causes(core) == {OwnerChangeCause.SILENT}
