--- a/src/limedeck/ownership/__init__.py
+++ b/src/limedeck/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which back end owns each key: election, grants, releases and moves. No I/O."""
+"""Ownership of keys by back ends: election, grants, releases and moves, without I/O."""
--- a/src/limedeck/ownership/barriers.py
+++ b/src/limedeck/ownership/barriers.py
@@ -1,12 +1,12 @@
-"""Keeps orders to a former life of a back end from being carried out by a later one.
+"""Keeps orders for an earlier incarnation of a back end from being carried out by a later one.
 
-A back end may start again under its name. It then holds no keys and has seen no fence, so a grant
-that was meant for its former life, and is carried out late, would give it keys that are another
-one's by now. So before a back end that is new to a leader gets any keys, it is asked to release all
-of them, under a fence above all that were ever sent: from its answer on it refuses older grants.
+A back end may restart under the same name. It then holds no keys and has seen no fence, so that a
+delayed grant for its earlier incarnation would give it keys that another back end owns by now. So
+before a back end that is new to a leader gets any keys, it is ordered to release all keys, under a
+fence above all that were sent before. From its response on, it refuses older grants.
 
-The answer also proves that no earlier life of it holds keys: that one has ended, and what another
-leader still sends to it reaches the later life, which refuses it.
+The response also proves that no earlier incarnation holds keys: those have ended, and grants that
+another leader still sends to them reach the later incarnation, which refuses them.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
 from limedeck.ownership.orders import Release
 
 BARRIER_RETRY_INTERVAL: Seconds = 0.5
-"""A barrier without an answer is asked for again after so long; it gets no keys meanwhile."""
+"""Delay before a barrier that was not confirmed is requested again; until then the back end gets no
+keys."""
 
 
 @dataclass(slots=True)
 class _Barrier:
-    """What one back end was asked last; a fence of zero: nothing yet."""
+    """Last barrier order to one back end; a fence of zero means that none was sent yet."""
 
     fence: int = 0
     next_order: Seconds = NEVER
@@ -37,7 +38,7 @@
     Parameters
     ----------
     key_positions
-        Keys are numbers from 0 up to this, which is excluded.
+        Number of key positions; keys are mapped to positions from 0 to `key_positions - 1`.
     """
 
     def __init__(self, key_positions: int, fences: FenceCounter) -> None:
@@ -47,29 +48,29 @@
         self._confirmed: dict[str, str] = {}
 
     def require(self, backend_ids: Collection[str]) -> None:
-        """These back ends are new to this leader."""
+        """Require a barrier of back ends that are new to this leader."""
         for backend_id in sorted(backend_ids):
             self._unconfirmed.setdefault(backend_id, _Barrier())
 
     def retain(self, listed: Collection[str]) -> None:
-        """All others are gone."""
+        """Forget all back ends that are not listed."""
         for backend_id in [item for item in self._unconfirmed if item not in listed]:
             del self._unconfirmed[backend_id]
         for name in [name for name, item in self._confirmed.items() if item not in listed]:
             del self._confirmed[name]
 
     def is_unconfirmed(self, backend_id: str) -> bool:
-        """Whether it may still carry out orders that were meant for a former life."""
+        """Whether the back end may still carry out orders for an earlier incarnation."""
         return backend_id in self._unconfirmed
 
     def is_replaced(self, backend_id: str) -> bool:
-        """Whether a later life of it, which is listed, refuses what was meant for this one."""
+        """Whether a later, listed incarnation has confirmed that it refuses orders for this one."""
         name, _ = split_incarnation_id(backend_id)
         confirmed = self._confirmed.get(name)
         return confirmed is not None and is_later_incarnation(confirmed, backend_id)
 
     def due(self, now: Seconds) -> list[Release]:
-        """Return the orders that are to be sent now."""
+        """Return the barrier orders that are due."""
         orders = []
         for backend_id, barrier in self._unconfirmed.items():
             if barrier.is_pending or now < barrier.next_order:
@@ -80,7 +81,7 @@
         return orders
 
     def handle_response(self, order: Release, done: bool, now: Seconds) -> bool:
-        """An order was answered, or had no answer in time; tell whether it was one of these."""
+        """Handle the response to an order, or its loss; return whether it was a barrier order."""
         barrier = self._unconfirmed.get(order.backend_id)
         if barrier is None or barrier.fence != order.fence:
             return False
--- a/src/limedeck/ownership/candidate_priority.py
+++ b/src/limedeck/ownership/candidate_priority.py
@@ -1,7 +1,7 @@
-"""When a node's turn comes to stand for election: one after the other, strong machines first.
+"""Order in which nodes stand for election: at staggered times, strong machines first.
 
-A leader does more the more nodes follow it. On a machine much weaker than others it cannot send its
-orders in time, and back ends are then taken for silent that are not.
+The work of a leader grows with the number of nodes that follow it. On a machine much weaker than
+the others it cannot send its orders in time, and takes sound back ends for unresponsive.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from limedeck import identity, staggering
 
 MAX_CANDIDATE_DELAY: identity.Seconds = 0.25
-"""Candidates begin within so long of each other, so that mostly one writes."""
+"""Time over which candidates are spread, so that mostly only one of them writes its record."""
 STRONG_NODE_PART = 0.8
-"""A machine with this part of the strongest one's processor is as good a leader."""
+"""A node with at least this part of the strongest one's processor counts as strong."""
 DEFAULT_STRONGEST_CORES = 1.0
-"""The strongest machine is taken to have so many cores while no leader has told."""
+"""Cores that the strongest node is assumed to have until a leader has reported it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """What a leader tells of all nodes that follow it, and itself.
+    """Description of the leader and all nodes that follow it.
 
     Parameters
     ----------
     strongest
-        Cores that the strongest node may use; zero if that is not known.
+        Cores that the strongest node may use; zero if not known.
     strong_count
-        Nodes that are about as strong.
+        Number of nodes that are about as strong, the strongest included.
     """
 
     node_count: int = 1
@@ -36,21 +36,21 @@
 
 
 def describe_fleet(processors: list[float]) -> Fleet:
-    """Describe nodes by the cores that each may use."""
+    """Summarize nodes, given the cores that each may use."""
     strongest = max(processors)
     strong = sum(item >= STRONG_NODE_PART * strongest for item in processors)
     return Fleet(len(processors), strongest, strong)
 
 
 class CandidatePriority:
-    """One node's turn.
+    """Delay with which one node stands for election.
 
     Parameters
     ----------
     processor
         Cores that this node may use.
-    weakness_delay
-        A machine without any would stand so much later than the strongest one, in seconds.
+    max_weak_node_delay
+        Delay of a node with no processor at all, relative to the strongest one.
     """
 
     def __init__(self, processor: float, max_weak_node_delay: identity.Seconds) -> None:
@@ -60,22 +60,25 @@
 
     @property
     def weak_node_delay(self) -> identity.Seconds:
-        """How much later than a strong one this node stands."""
+        """Delay of this node relative to the strongest one."""
         strongest = self.fleet.strongest or DEFAULT_STRONGEST_CORES
         return self._max_weak_node_delay * max(1.0 - self._processor / strongest, 0.0)
 
     def urgent_delay(self, place: float) -> identity.Seconds:
-        """How much later than the first this node stands if all have to, and one must win soon.
+        """Return the delay if all nodes have to stand and one has to be elected soon.
 
         Parameters
         ----------
         place
-            Where the node stands among all, from 0 to 1.
+            Place of the node among all nodes, from 0 to 1.
         """
         return place * MAX_CANDIDATE_DELAY + self.weak_node_delay
 
     def staggered_delay(self, place: float) -> identity.Seconds:
-        """The same if it is not certain that anyone has to: few begin, then twice as many."""
+        """Return the delay if an election may not be needed: few nodes begin, then twice as many.
+
+        Strong nodes stand first; the others follow after all of them.
+        """
         fleet = self.fleet
         if self._processor >= STRONG_NODE_PART * fleet.strongest:
             return staggering.delay(place, fleet.strong_count)
--- a/src/limedeck/ownership/commands.py
+++ b/src/limedeck/ownership/commands.py
@@ -1,4 +1,4 @@
-"""What the owners' core tells its host: commands, and changes for logs and measures."""
+"""Outputs of `ServiceOwnership`: commands to carry out, and owner changes for logs and metrics."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGrant:
-    """Command: send a grant; the answer comes back with the same order."""
+    """Command: send a grant; its response is handed back with the same order."""
 
     order: Grant
 
 
 @dataclass(frozen=True, slots=True)
 class SendRelease:
-    """Command: send a release; the answer comes back with the same order."""
+    """Command: send a release; its response is handed back with the same order."""
 
     order: Release
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Command: write the owners if the row still has this version and the term still stands."""
+    """Command: write the owners, if the row has this version and the term is still current."""
 
     record: AssignmentRecord
     row_version: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerChange:
-    """A range has a new owner, for logs and measures."""
+    """Change of a range's owner, for logs and metrics."""
 
     first: int
     last: int
--- a/src/limedeck/ownership/fences.py
+++ b/src/limedeck/ownership/fences.py
@@ -1,20 +1,21 @@
-"""Fences as whole numbers: a later leader's are above every earlier one's."""
+"""Fencing tokens as integers: those of a later leader are above all of earlier ones."""
 
 from __future__ import annotations
 
 from limedeck.errors import InvariantViolation
 
 SEQUENCE_BITS = 24
-"""Orders of one term; with the term, a fence stays below 2**53 and exact in JSON."""
+"""Bits for the fences of one term; together with the term, a fence stays below 2**53, so that JSON
+readers keep it exact."""
 
 
 class FenceCounter:
-    """Counts the fences of one term.
+    """Issues the fences of one term.
 
     Parameters
     ----------
     term
-        Of the leader.
+        Term of the leader.
     """
 
     def __init__(self, term: int) -> None:
@@ -22,8 +23,8 @@
         self._sequence = 0
 
     def next(self) -> int:
-        """Return a fence above all earlier ones."""
+        """Return a fence above all that were issued before."""
         self._sequence += 1
         if self._sequence >= 1 << SEQUENCE_BITS:
-            raise InvariantViolation("fences-suffice", f"term {self.term}")
+            raise InvariantViolation("fences-suffice", f"all fences of term {self.term} are used")
         return self.term << SEQUENCE_BITS | self._sequence
--- a/src/limedeck/ownership/fleet_backoffs.py
+++ b/src/limedeck/ownership/fleet_backoffs.py
@@ -14,7 +14,7 @@
 from limedeck.ownership.fleet_load import BackendReport
 
 SERVED_WINDOW: Seconds = 0.5
-"""A node counts as served for this time after it reported an answer; spans two reports."""
+"""A node counts as served for this time after it reported a response; spans two reports."""
 MIN_NODES = 2
 """Nodes that must back off, unless the fleet is smaller: a single node may itself be the cause."""
 OWNER_COOLDOWN: Seconds = 5.0
@@ -31,7 +31,7 @@
     backing_off
         End of the back-off, by node.
     served
-        Time of the last reported answer, by node.
+        Time of the last reported response, by node.
     rejecting_at
         When `is_rejecting` was last found to be true; None if never.
     """
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -1,4 +1,4 @@
-"""What all nodes together have at each back end, as the leader hears it from each of them."""
+"""Aggregates at the leader the load of each back end, as reported by all nodes."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 from limedeck.identity import NEVER, Seconds
 
 RESPONSE_WEIGHT = 0.05
-"""Weight of one answer in a back end's service time; some 20 tell the mean of uneven work."""
+"""Weight of one response in a back end's mean service time; averages uneven work over some 20."""
 FRESH: Seconds = 1.0
-"""A service time is believed as it is for so long after the last answer of any node."""
+"""Time since a node last reported a response for which a service time is taken unchanged."""
 DECAY_TIME: Seconds = 3.0
-"""After `FRESH`, its difference from the others' mean fades by two thirds in so long. A back
-end that looked slow once and then got nothing looked slow for ever: an idle one of six got none of
-60 requests a second for 8 s. One that is slow gets some request every few seconds instead."""
+"""Time constant by which, after `FRESH`, a service time decays to the mean of its service. Without
+the decay, a back end that was slow once got no requests and so counted as slow forever: an idle one
+of six got none of 60 requests per second for 8 s. With it, a slow back end gets a request every few
+seconds."""
 MIN_WEIGHT = 1e-6
-"""Of a service time in the mean, so that there is one if all are old."""
+"""Least weight of a service time in the mean, so that there is a mean if all of them are old."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """What one node tells of one back end.
+    """Report of one node about one back end.
 
     Parameters
     ----------
     backend
-        A hash of its id.
+        Hash of the back end's id.
     outstanding
-        This node's requests that it has not answered.
+        Requests of this node to which the back end has not responded yet.
     answers
-        Whole answers since the last report.
+        Complete responses since the last report.
     service_time
-        Their mean time in seconds, queues left out.
+        Mean service time of these responses, without queueing.
     failures
-        Attempts that failed by its fault since the last report.
+        Attempts since the last report that failed by the back end's fault.
     backoff
-        Remaining back-off of this node for it, in seconds; zero if none.
+        Remaining time for which this node backs off from the back end; zero if it does not.
     """
 
     backend: int
@@ -50,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendTotal:
-    """What all nodes know of one back end; a service time of zero is not known.
+    """Sum of all nodes' reports about one back end; a service time of zero means unknown.
 
     Parameters
     ----------
     excluded
-        It is to be passed over because it fails.
+        Whether the back end gets no requests because it fails too often.
     answered_at
-        When a node last told of an answer from it, on the leader's clock; only the leader knows.
+        When a node last reported a response, on the leader's clock; known only to the leader.
     """
 
     backend: int
@@ -70,12 +71,12 @@
 def with_decayed_service_times(
     totals: Sequence[BackendTotal], services: Mapping[int, str], now: Seconds
 ) -> list[BackendTotal]:
-    """Return totals in which old service times have come nearer to the fresh ones of their service.
+    """Return totals in which old service times have decayed to the mean of their service.
 
     Parameters
     ----------
     services
-        By back end, its service.
+        Service of each back end.
     """
     measured = [total for total in totals if total.service_time > 0.0]
     weights: dict[str, float] = dict.fromkeys(services.values(), 0.0)
@@ -96,12 +97,12 @@
 
 
 def _freshness(answered_at: Seconds, now: Seconds) -> float:
-    """What a service time is worth by the time of the last answer, from 1 to 0."""
+    """Return the weight, from 1 to 0, of a service time whose last response was reported then."""
     return math.exp(-max(now - answered_at - FRESH, 0.0) / DECAY_TIME)
 
 
 class FleetLoad:
-    """Adds up nodes' reports; a node that is not heard any more is left out."""
+    """Adds up the reports of all connected nodes."""
 
     def __init__(self) -> None:
         self._by_node: dict[str, dict[int, int]] = {}
@@ -109,13 +110,13 @@
         self._answered_at: dict[int, Seconds] = {}
 
     def initialize(self, service_times: Mapping[int, Seconds], now: Seconds) -> None:
-        """Go on from what this node was told by the leader before it, or has seen itself."""
+        """Start from the service times known from the former leader or measured by this node."""
         for backend, known in service_times.items():
             self._service_times.setdefault(backend, known)
             self._answered_at.setdefault(backend, now)
 
     def record_report(self, node: str, reports: Iterable[BackendReport], now: Seconds) -> None:
-        """Take in a node's report, which names every back end that has requests of it."""
+        """Record a node's report, which lists every back end with outstanding requests of it."""
         outstanding: dict[int, int] = {}
         for report in reports:
             if report.outstanding:
@@ -126,21 +127,21 @@
         self._by_node[node] = outstanding
 
     def forget(self, node: str) -> None:
-        """A node is not connected any more."""
+        """Drop the outstanding requests of a node that has disconnected."""
         self._by_node.pop(node, None)
 
     def clear(self) -> None:
-        """Forget everything: this node leads no more."""
+        """Drop all reports when this node is no longer the leader."""
         self._by_node.clear()
         self._service_times.clear()
         self._answered_at.clear()
 
     def service_time(self, backend: int) -> Seconds | None:
-        """Return a back end's service time, if it is known."""
+        """Return a back end's mean service time, or None if it is unknown."""
         return self._service_times.get(backend)
 
     def totals(self, listed: Iterable[int]) -> list[BackendTotal]:
-        """Return what is known of these back ends; the others are forgotten."""
+        """Return the totals of the listed back ends, and forget the others."""
         wanted = list(listed)
         sums = dict.fromkeys(wanted, 0)
         for outstanding in self._by_node.values():
@@ -161,7 +162,7 @@
         if known is None:
             self._service_times[report.backend] = report.service_time
             return
-        # What is old has faded by as much as nodes were told.
+        # The old value counts only as far as it has not decayed in the totals sent to nodes.
         kept = _freshness(self._answered_at.get(report.backend, now), now)
         weight = 1.0 - kept * (1.0 - RESPONSE_WEIGHT) ** report.answers
         self._service_times[report.backend] = known + weight * (report.service_time - known)
--- a/src/limedeck/ownership/key_load.py
+++ b/src/limedeck/ownership/key_load.py
@@ -1,4 +1,4 @@
-"""How many requests each key had lately, as the leader hears from all nodes."""
+"""Recent requests per second of each key, as reported to the leader by all nodes."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from limedeck.identity import Seconds
 
 DECAY_TIME: Seconds = 3.0
-"""After so long, a request counts for a third."""
+"""Time constant after which the weight of a request has decayed to about a third (1/e)."""
 SHORT_DECAY_TIME: Seconds = 1.0
-"""For loads that show a surge soon, and less surely."""
+"""Time constant for loads that show a sudden increase early, with more random variation."""
 LONG_DECAY_TIME: Seconds = 8.0
-"""For small differences that last: they show above chance only after some seconds."""
+"""Time constant for small lasting differences, which become significant only after seconds."""
 MIN_MEASURED_TIME: Seconds = 0.5
-"""The first requests that are heard of came within so long: the interval of reports."""
+"""Time in which the first reported requests are taken to have arrived: the report interval."""
 MAX_EXPONENT = 40.0
-"""Stored weights grow with time; they are scaled down when they have grown so much."""
+"""Exponent of the growth of stored weights at which they are scaled down."""
 MIN_WEIGHT = 0.02
-"""A key with less than this is forgotten."""
+"""Keys with a smaller weight are dropped."""
 PRUNE_INTERVAL: Seconds = 2.0
-"""Between two looks for such keys, which cost a pass over all; an estimate."""
+"""Interval at which such keys are dropped, which takes a pass over all keys."""
 
 
 class KeyLoad:
-    """Requests a second by key, with exponentially fading memory.
+    """Requests per second by key, exponentially weighted.
 
-    Weights are stored as if at `_origin`, so that fading costs nothing for keys without requests.
+    Weights are stored relative to `_origin`, so that decay costs nothing for keys without requests.
 
     Parameters
     ----------
-    memory
-        After so long, in seconds, a request counts for a third.
+    decay_time
+        Time constant after which the weight of a request has decayed to about a third (1/e).
     """
 
     def __init__(self, now: Seconds, decay_time: Seconds = DECAY_TIME) -> None:
@@ -44,7 +44,7 @@
         self._pruned_at = now
 
     def add(self, counts: Iterable[tuple[int, int]], now: Seconds) -> None:
-        """Take in requests by key."""
+        """Add requests by key."""
         self._rescale(now)
         if not self._weights:
             self._measured_since = now - MIN_MEASURED_TIME
@@ -56,7 +56,7 @@
             self._weights[position] += count * factor
 
     def rates(self, first: int, last: int, now: Seconds) -> list[tuple[int, float]]:
-        """Requests a second of each key from `first` to `last` that had any, in order."""
+        """Return the requests per second of each key from `first` to `last` that had any."""
         factor = math.exp(-(now - self._origin) / self._decay_time) / self._effective_time(now)
         start = bisect_left(self._positions, first)
         end = bisect_left(self._positions, last + 1)
@@ -65,15 +65,15 @@
         ]
 
     def total(self, first: int, last: int, now: Seconds) -> float:
-        """Requests a second of all keys from `first` to `last`."""
+        """Return the requests per second of all keys from `first` to `last`."""
         return sum(rate for _, rate in self.rates(first, last, now))
 
     def deviation(self, rate: float, now: Seconds) -> float:
-        """Standard deviation of a measured rate, in requests a second: requests come at random."""
+        """Return the standard deviation of a measured rate, for requests that arrive at random."""
         return math.sqrt(max(rate, 0.0) / (2.0 * self._effective_time(now)))
 
     def _effective_time(self, now: Seconds) -> Seconds:
-        """Time that the memory covers; short while the first requests are not long ago."""
+        """Return the time over which weights add up; shorter soon after the first requests."""
         age = max(now - self._measured_since, MIN_MEASURED_TIME)
         return self._decay_time * -math.expm1(-age / self._decay_time)
 
--- a/src/limedeck/ownership/leader_permits.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -1,4 +1,4 @@
-"""A leader's permits for back ends that bear little: begun anew in each term, over with it."""
+"""Permits that the leader issues for rate-bounded back ends; their state lasts for one term."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from limedeck.ownership.election import ElectionCore, Role
 
 NO_RESPONSE_RETRY_DELAY: Seconds = 0.3
-"""Without a leader's answer a node asks again after so long: about the time of an election."""
+"""Delay before a node without a leader's response requests a permit again; about the time of an
+election."""
 NO_LEADER_RESPONSE = PermitDenied(NO_RESPONSE_RETRY_DELAY)
-"""What is assumed without a leader's answer."""
+"""Response that is assumed if the leader does not respond."""
 
 
 class LeaderPermitIssuer:
-    """Lends permits while this node leads, as far as it knows."""
+    """Issues permits while this node leads, as far as it knows."""
 
     def __init__(self, election: ElectionCore) -> None:
         self._election = election
@@ -26,7 +27,7 @@
         return self._election.role is Role.LEADER
 
     def handle_tick(self, now: Seconds) -> None:
-        """Begin anew in each term, and end with it."""
+        """Start without permits in each term, and drop them at its end."""
         if not self.leads:
             self._issuer = None
             return
@@ -36,12 +37,12 @@
         self._issuer.forget_old(now)
 
     def issue(self, request: PermitRequest, known: float | None, now: Seconds) -> PermitResponse:
-        """Lend a permit, if there is room.
+        """Issue a permit, if the rate bound allows it.
 
         Parameters
         ----------
         known
-            Requests a second that this node believes the back end takes; None: without bound.
+            Rate bound of the back end as this node knows it; None if there is none.
         """
         is_in_office = self.leads and self._term == self._election.term
         if self._issuer is None or not is_in_office:
--- a/src/limedeck/ownership/orders.py
+++ b/src/limedeck/ownership/orders.py
@@ -1,4 +1,4 @@
-"""Orders that a leader sends to back ends, and how an adapter writes them."""
+"""Orders that a leader sends to back ends, and the protocol by which an adapter encodes them."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A back end may run requests for these keys for a while from the order's arrival.
+    """Order that lets a back end run requests for these keys for a time from the order's arrival.
 
     Parameters
     ----------
     first, last
-        Positions of keys, both inside.
+        First and last key position, both inclusive.
     fence
-        A back end refuses a fence below the highest it has seen for one of the keys.
+        Fencing token; a back end refuses one below the highest it has seen for any of the keys.
     duration
-        In seconds.
+        Time for which the grant is valid.
     handover
-        Token from the former owner's release, or empty.
+        Token from the response to the former owner's release; empty if there is none.
     """
 
     backend_id: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A back end must begin no more requests for these keys, and answer when all have ended."""
+    """Order to start no more requests for these keys, and to respond when all have ended."""
 
     backend_id: str
     first: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderRequest:
-    """An order as an HTTP request (POST)."""
+    """Order encoded as an HTTP request (POST)."""
 
     path: bytes
     headers: Headers
@@ -53,15 +53,15 @@
 
 
 class OrderProtocol(ABC):
-    """Writes orders, and reads the answers to them."""
+    """Encodes orders, and interprets the responses to them."""
 
     @abstractmethod
     def grant(self, order: Grant, instance: str) -> OrderRequest:
-        """Write a grant to the back end that has this name."""
+        """Encode a grant for the back end with this instance name."""
 
     @abstractmethod
     def release(self, order: Release, instance: str) -> OrderRequest:
-        """Write a release to the back end that has this name."""
+        """Encode a release for the back end with this instance name."""
 
     @abstractmethod
     def is_done(self, status: int) -> bool:
@@ -73,8 +73,8 @@
 
     @abstractmethod
     def is_leaving(self, headers: Headers) -> bool:
-        """Whether the answer announces that the back end is leaving."""
+        """Whether the response announces that the back end is leaving."""
 
     @abstractmethod
     def handover(self, headers: Headers) -> str:
-        """Read the token that the next owner of released keys is to be given, or empty."""
+        """Return the token for the next owner of released keys; empty if there is none."""
--- a/src/limedeck/ownership/outliers.py
+++ b/src/limedeck/ownership/outliers.py
@@ -1,10 +1,10 @@
-"""Which back ends fail more often than the others of their service, as all nodes see it together.
+"""Detects back ends that fail more often than others of their service, from all nodes' reports.
 
-A node of a large fleet sends one back end a request a minute and would learn too late that it
-fails. What is taken from Envoy's published outlier detection: the comparison with the others of
-the same service, exclusion for a time that grows, and a bound on how many are excluded. What is
-not: its intervals of 10 s, since callers here wait for seconds only, and its probes, since real
-requests show enough.
+A single node of a large fleet sends one back end about a request per minute, and would detect too
+late that it fails. The method follows Envoy's published outlier detection: comparison with the
+other back ends of the service, exclusion times that grow, and a bound on the number of exclusions.
+It differs in two points: there are no intervals of 10 s, since callers wait for seconds only, and
+no probes, since regular requests show enough.
 """
 
 from __future__ import annotations
@@ -17,39 +17,42 @@
 from limedeck.identity import NEVER, Seconds
 
 DECAY_TIME: Seconds = 2.0
-"""After so long, an attempt counts for a third; an estimate."""
+"""Time constant after which the weight of an attempt has decayed to about a third (1/e)."""
 MIN_ATTEMPTS = 8.0
-"""Fewer tell chance: where two in a hundred fail everywhere, three of eight is one in 2,300."""
+"""Attempts below which a share of failures may be due to chance. Where 2 % of all attempts fail,
+three failures of eight attempts have a probability of 1 in 2,300."""
 MIN_FAILURE_EXCESS = 0.3
-"""An outlier's share of failures is above that of the others by so much; an application's own
-errors come from all back ends alike."""
+"""Least difference between an outlier's share of failures and that of the other back ends. Errors
+of the application itself affect all back ends alike."""
 MAX_EXCLUDED_PART = 0.4
-"""Part of a service's back ends that is excluded at most: the others must be able to do the work.
-Back ends are used to half of their capacity at the known sites."""
+"""Largest part of a service's back ends that may be excluded, since the others have to take over
+their load. Back ends run at half of their capacity at the known sites."""
 BASE_EXCLUSION_TIME: Seconds = 1.5
-"""The first exclusion; each further one is twice as long."""
+"""Duration of the first exclusion; each further one is twice as long."""
 MAX_EXCLUSION_TIME: Seconds = 6.0
-"""Faults of back ends that were seen last for some 5 s; longer ones keep sound back ends idle."""
+"""Observed faults of back ends last for about 5 s; longer exclusions leave healthy back ends
+idle."""
 OVERLOAD_REQUESTS_PER_SLOT = 2.0
-"""Requests for each slot from which a back end is overloaded: as many wait as it works on. A hot
-spot's owner has five for each slot and resets what comes beyond (docs/policy/large-fleets.md)."""
+"""Requests per slot from which a back end counts as overloaded: as many wait as are being
+processed. The owner of a hot spot has five per slot and resets further connections
+(docs/policy/large-fleets.md)."""
 MAX_TIME_WITHOUT_RESPONSE: Seconds = 1.0
-"""A back end that is overloaded still answers some requests; one that answers none for so long
-hangs. An estimate, above the times that single requests take at the known sites."""
+"""Time without a response after which an overloaded back end counts as hung; an overloaded one
+still responds to some requests. Longer than single requests take at the known sites."""
 EXCLUSION_RESET_TIME: Seconds = 10.0
-"""An exclusion so long ago does not make the next one longer."""
+"""Time after the end of an exclusion from which the next one has the base duration again."""
 
 
 @dataclass(slots=True)
 class _History:
-    """One back end's attempts, fading, and its exclusions.
+    """Decaying attempts of one back end, and its exclusions.
 
     Parameters
     ----------
-    silent_since
-        When it answered last, or when requests began to end after none had for a while.
-    noted_at
-        When a request ended there last, answered or failed.
+    no_response_since
+        Time of the last response, or of the first report after a time without any attempts.
+    last_attempt_at
+        Time of the last report of a response or a failed attempt.
     """
 
     attempts: float = 0.0
@@ -90,34 +93,34 @@
 
 
 class OutlierDetector:
-    """Finds outliers from nodes' reports."""
+    """Detects outliers from the reports of all nodes."""
 
     def __init__(self) -> None:
         self._histories: dict[int, _History] = {}
 
     def record(self, backend: int, answers: int, failures: int, now: Seconds) -> None:
-        """A node reports answers and failed attempts of a back end, named by its hash."""
+        """Record a node's report of responses and failed attempts; `backend` is an id's hash."""
         history = self._histories.setdefault(backend, _History(decayed_at=now))
         if now < history.excluded_until:
             return
         history.record(answers, failures, now)
 
     def clear(self) -> None:
-        """Forget everything: this node leads no more."""
+        """Drop all reports when this node is no longer the leader."""
         self._histories.clear()
 
     def excluded(
         self, services: Mapping[int, str], now: Seconds, overloaded: Collection[int] = ()
     ) -> frozenset[int]:
-        """Return the back ends that are passed over now; ones that are not listed are forgotten.
+        """Return the back ends that are excluded now, and forget those that are not listed.
 
         Parameters
         ----------
         services
-            The service of each listed back end, by the hash of its id.
+            Service of each listed back end, by the hash of its id.
         overloaded
-            Back ends with a long queue. As long as they answer, what fails there tells of too many
-            requests: excluding them would only give their requests, and so the overload, to others.
+            Back ends with a long queue. While they respond, their failures are attributed to the
+            overload: excluding them would only move their requests, and the overload, to others.
         """
         self._histories = {key: item for key, item in self._histories.items() if key in services}
         for backend in overloaded:
@@ -150,7 +153,7 @@
 
 
 def _is_outlier(history: _History, attempts: float, failures: float) -> bool:
-    """Compare one with the others of its service, whose sums are given with it."""
+    """Compare a back end with the others of its service; the given sums include the back end."""
     others = attempts - history.attempts
     if history.attempts < MIN_ATTEMPTS or others < MIN_ATTEMPTS:
         return False
--- a/src/limedeck/ownership/owner_liveness.py
+++ b/src/limedeck/ownership/owner_liveness.py
@@ -1,8 +1,8 @@
-"""Which owners answer a leader's orders, and whether it is the leader that can't hear them.
+"""Tracks which owners respond to a leader's orders, and whether the leader itself is at fault.
 
-One observer cannot tell its own lateness from the silence of all that it observes. Other nodes
-report which back ends answer their requests: an owner that answers them and not the leader is
-sound, and if there are many such owners the leader is at fault.
+A single observer cannot distinguish its own delays from a failure of all that it observes. Other
+nodes report which back ends respond to their requests: an owner that responds to them but not to
+the leader is healthy, and if there are many such owners, the leader is at fault.
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 from limedeck.ownership.timing import OwnershipTiming
 
 MAX_UNRESPONSIVE_PART = 1 / 3
-"""More owners than this part that answer others and not the leader: it is at fault. An estimate:
-single back ends are out of one node's reach for reasons of their own. In simulated time, with a
-leader whose orders take 40 times their work, all of 24 owners are unheard after 0.6 s; taking their
-keys left 48 of 48 keys without an owner for 4 s, and yielding none (test_slow_leader.py)."""
+"""Part of the owners that may respond to other nodes but not to the leader; with more, the leader
+is at fault. Single back ends may be unreachable from one node for other reasons. In a simulation of
+a leader whose orders take 40 times as long, all of 24 owners are unresponsive after 0.6 s: if they
+lose their keys, 48 of 48 keys have no owner for 4 s; if the leader yields, none
+(test_slow_leader.py)."""
 
 
 class OwnerLiveness:
-    """One leader's view of the back ends of one service.
+    """Liveness of the back ends of one service, as seen by one leader.
 
     Parameters
     ----------
-    opened_at
-        When this leader took the service over.
+    taken_over_at
+        When this leader took over the service.
     """
 
     def __init__(self, timing: OwnershipTiming, taken_over_at: Seconds) -> None:
@@ -36,67 +37,67 @@
         self._avoided_until: dict[str, Seconds] = {}
 
     def record_order_sent(self, backend_id: str, now: Seconds) -> None:
-        """An order is sent; silence counts from the first one without an answer."""
+        """Record that an order is sent; time-outs count from the first one without a response."""
         self._requested_at.setdefault(backend_id, now)
 
     def record_order_response(self, backend_id: str) -> None:
-        """It has answered an order."""
+        """Record a response to an order."""
         self._requested_at.pop(backend_id, None)
         self._avoided_until.pop(backend_id, None)
 
     def record_new_owner(self, backend_id: str) -> None:
-        """It gets keys: its silence counts from the first order that it gets as their owner."""
+        """Record a new owner of keys; its time-outs count from its first order as their owner."""
         self._requested_at.pop(backend_id, None)
 
     def record_last_response(self, backend_id: str, responded_at: Seconds) -> None:
-        """A node told at this time that the back end had answered a request."""
+        """Record when a node last reported a response of the back end to a request."""
         self._responded_at[backend_id] = responded_at
 
     def requested_at(self, backend_id: str) -> Seconds | None:
-        """When the first order without an answer was sent; None if there is none."""
+        """Return when the first order without a response was sent; None if there is none."""
         return self._requested_at.get(backend_id)
 
     def is_presumed_failed(self, backend_id: str, now: Seconds) -> bool:
-        """Whether it has answered no order for so long that it loses its keys."""
+        """Whether the back end has not responded for `owner_timeout`, and loses its keys."""
         requested_at = self._requested_at.get(backend_id)
         return requested_at is not None and now - requested_at > self._timing.owner_timeout
 
     def is_unresponsive(self, backend_id: str, now: Seconds) -> bool:
-        """Whether two orders and more to it are without an answer."""
+        """Whether the back end has not responded to orders for `unresponsive_timeout`."""
         requested_at = self._requested_at.get(backend_id)
         return requested_at is not None and now - requested_at >= self._timing.unresponsive_timeout
 
     def is_unreachable(self, backend_id: str, now: Seconds) -> bool:
-        """Whether neither this node nor, as far as it heard, any other one is answered there."""
+        """Whether the back end responds neither to this node nor, by their reports, to others."""
         requested_at = self._requested_at.get(backend_id)
         if requested_at is None:
             return False
-        # Nodes that have not connected to a new leader yet tell it nothing.
+        # Nodes that have not yet connected to a new leader send it no reports.
         since = max(requested_at, self._taken_over_at + self._timing.follower_reconnect_time)
         if now - since < self._timing.unresponsive_timeout:
             return False
         return not self._responds_to_others(backend_id, since)
 
     def is_leader_at_fault(self, owners: Collection[str], now: Seconds) -> bool:
-        """Whether so many owners answer others and not this node that the fault is here."""
+        """Whether so many owners respond only to other nodes that this node is at fault."""
         unresponsive = sum(self._responds_only_to_others(owner, now) for owner in owners)
         return unresponsive > MAX_UNRESPONSIVE_PART * len(owners)
 
     def avoid(self, backend_id: str, now: Seconds) -> None:
-        """Give it no keys for a while."""
+        """Assign no keys to the back end for `avoidance_time`."""
         self._avoided_until[backend_id] = now + self._timing.avoidance_time
 
     def extend_avoidance(self, backend_id: str, now: Seconds) -> None:
-        """One more order was lost; if it is avoided, it is for longer."""
+        """Restart the avoidance of a back end that is avoided, since another order was lost."""
         if backend_id in self._avoided_until:
             self.avoid(backend_id, now)
 
     def is_avoided(self, backend_id: str) -> bool:
-        """Whether it is to get no keys, as of the last `end_avoidance`."""
+        """Whether the back end must get no keys, as of the last `expire_avoidance`."""
         return backend_id in self._avoided_until
 
     def expire_avoidance(self, now: Seconds) -> None:
-        """Back ends that were avoided long enough are judged anew."""
+        """End the avoidance of back ends whose time is over, and reset their time-outs."""
         for backend_id in [key for key, until in self._avoided_until.items() if until <= now]:
             del self._avoided_until[backend_id]
             self._requested_at.pop(backend_id, None)
@@ -108,5 +109,5 @@
         )
 
     def _responds_to_others(self, backend_id: str, since: Seconds) -> bool:
-        """Whether a node was surely answered there after this moment."""
+        """Whether the back end certainly responded to a node after `since`."""
         return self._responded_at.get(backend_id, NEVER) >= since + self._timing.max_report_delay
--- a/src/limedeck/ownership/planned_limits.py
+++ b/src/limedeck/ownership/planned_limits.py
@@ -1,4 +1,4 @@
-"""What owners that name limits are planned to bear: one that wavers moves no keys to and fro."""
+"""Capacity to plan with for owners that state rate limits, smoothed to avoid repeated moves."""
 
 from __future__ import annotations
 
@@ -9,13 +9,24 @@
 from limedeck.identity import Seconds
 
 RISE_DELAY: Seconds = 5.0
-"""A limit that rises or is lifted is planned with once it has held for so long: a move costs its
-keys' callers a fraction of a second, and a back end in need names another limit every second."""
+"""Time for which a higher limit, or none, must have been stated before plans use it. A move delays
+callers of its keys by a fraction of a second, and a limited back end states a new limit every
+second."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Planned:
-    """A limit that is planned with, and since when every later one was above it."""
+    """Limit that plans use.
+
+    Parameters
+    ----------
+    rate
+        Requests per second.
+    higher_since
+        When the limits stated since began to be higher than `rate`; None if they are not.
+    next_rate
+        Lowest of these higher limits; None if no limit was stated in that time.
+    """
 
     rate: float
     higher_since: Seconds | None = None
@@ -23,13 +34,13 @@
 
 
 class PlannedLimits:
-    """Requests a second that owners are planned to get at most."""
+    """Rate limits of owners that plans use, in requests per second."""
 
     def __init__(self) -> None:
         self._planned: dict[str, _Planned] = {}
 
     def set(self, limits: Mapping[str, float], now: Seconds) -> None:
-        """Take in the limits in force; whoever has none here names none."""
+        """Set the limits in force; back ends that are not listed have no limit."""
         for backend_id in limits.keys() | self._planned.keys():
             planned = self._next(self._planned.get(backend_id), limits.get(backend_id), now)
             if planned is None:
@@ -38,7 +49,7 @@
                 self._planned[backend_id] = planned
 
     def capacity(self, backend_id: str, unlimited: float) -> float:
-        """Return the requests a second that a back end bears, of those it could work on."""
+        """Return the requests per second to plan for a back end that can process `unlimited`."""
         planned = self._planned.get(backend_id)
         return unlimited if planned is None else min(unlimited, max(planned.rate, MIN_RATE))
 
@@ -53,7 +64,7 @@
 
 
 def _stricter(one: float | None, other: float | None) -> float | None:
-    """Return the stricter of two limits; None names none."""
+    """Return the lower of two limits; None means no limit."""
     if one is None or other is None:
         return other if one is None else one
     return min(one, other)
--- a/src/limedeck/ownership/range_map.py
+++ b/src/limedeck/ownership/range_map.py
@@ -1,4 +1,4 @@
-"""All keys of a service, cut into ranges that have one owner each."""
+"""Division of all keys of a service into ranges that have one owner each."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class RangeMap:
-    """Ranges in the order of their keys; they cover all keys, or there are none yet.
+    """Ranges ordered by key position; they cover all keys, unless there are none yet.
 
     Parameters
     ----------
     key_positions
-        Keys are numbers from 0 up to this, which is excluded.
+        Number of key positions; keys are mapped to positions from 0 to `key_positions - 1`.
     """
 
     def __init__(self, key_positions: int, fences: FenceCounter) -> None:
@@ -33,11 +33,11 @@
         return len(self.ranges)
 
     def add(self, state: RangeState) -> None:
-        """Add the range after the last one."""
+        """Append a range after the last one."""
         self.ranges.append(state)
 
     def counts(self) -> Counter[str]:
-        """How many ranges each owner has."""
+        """Return the number of ranges by owner."""
         return Counter(item.owner for item in self.ranges)
 
     def find_by_order(self, order: Grant | Release) -> RangeState | None:
@@ -48,7 +48,7 @@
         return None
 
     def find_within(self, order: Grant | Release) -> list[RangeState]:
-        """Find the ranges that an order was for, but those that have changed since."""
+        """Find the ranges that an order was for, except those that have changed since."""
         return [
             item
             for item in self.ranges
@@ -56,7 +56,10 @@
         ]
 
     def isolate(self, first: int, last: int) -> RangeState | None:
-        """Cut ranges so that one of them holds just these keys."""
+        """Split an owned range so that one part holds exactly these keys, and return that part.
+
+        Returns None if no owned range holds them all.
+        """
         for index, item in enumerate(self.ranges):
             if not item.first <= first <= last <= item.last or item.phase is not Phase.OWNED:
                 continue
@@ -72,7 +75,7 @@
         return None
 
     def merge_neighbours(self) -> None:
-        """Join ranges side by side of one owner: each range costs a grant for every renewal."""
+        """Merge adjacent stable ranges of one owner, since each range costs a grant per renewal."""
         merged: list[RangeState] = []
         for item in self.ranges:
             last = merged[-1] if merged else None
@@ -91,13 +94,15 @@
         expected = 0
         for item in self.ranges:
             if item.first != expected or item.last < item.first:
-                raise InvariantViolation("ranges-cover-all-keys", f"{item} after {expected}")
+                raise InvariantViolation(
+                    "ranges-cover-all-keys", f"position {expected} expected: {item}"
+                )
             expected = item.last + 1
         if self.ranges and expected != self._key_positions:
-            raise InvariantViolation("ranges-cover-all-keys", f"end at {expected}")
+            raise InvariantViolation("ranges-cover-all-keys", f"ranges end before {expected}")
 
     def _assign_new_fences(self, pieces: Iterable[RangeState]) -> None:
-        """Grant pieces of a former range anew, under fences of their own."""
+        """Give each piece a fence of its own, and make its next grant due."""
         for piece in pieces:
             piece.fence = self._fences.next()
             piece.order_pending = False
--- a/src/limedeck/ownership/ranges.py
+++ b/src/limedeck/ownership/ranges.py
@@ -1,4 +1,4 @@
-"""A range of keys in its leader's eyes: who owns it, and until when who may still hold it."""
+"""State of a key range at the leader: its owner, and until when a back end may still hold it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Phase(enum.Enum):
-    """Where a range is between two owners.
+    """Phase of a range between two changes of its owner.
 
     OWNED
-        The recorded owner has a grant, or gets one.
+        The recorded owner has a grant, or will get one.
     RELEASING
-        The owner is asked to give it up.
+        The owner is ordered to release the range.
     FREE
-        No back end can hold it; the next owner is not recorded yet.
+        No back end can hold the range, and its next owner is not recorded yet.
     """
 
     OWNED = "owned"
@@ -27,7 +27,7 @@
 
 
 class OwnerChangeCause(enum.Enum):
-    """Why a range changes its owner."""
+    """Cause of a change of a range's owner."""
 
     FIRST = "first"
     LEAVING = "leaving"
@@ -38,29 +38,31 @@
 
 @dataclass(slots=True)
 class RangeState:
-    """Keys from `first` to `last`, both inside.
+    """State of the keys from `first` to `last`, both inclusive.
 
     Parameters
     ----------
     owner
-        As recorded in the store, or `NO_OWNER`.
+        Owner as recorded in the store, or `NO_OWNER`.
     fence
-        Of the newest order for these keys.
+        Fence of the newest order for these keys.
     held_until
-        No grant that was sent can be in force after this, unless it is taken late.
+        Time after which no grant that was sent can be in force, unless it arrives late.
     sent_until
-        The same for the grants of this leader only: once the owner has answered one, its fence
-        keeps out those of earlier leaders.
+        The same for grants of this leader only: once the owner has confirmed one of them, its fence
+        keeps out grants of earlier leaders.
     confirmed_until
-        The owner surely holds the keys until then.
+        Time until which the owner certainly holds the keys.
     next_order
-        When the next order is due.
+        Time at which the next order is due.
     order_pending
-        An order was sent that is neither answered nor lost.
+        Whether an order was sent that has neither a response nor timed out.
     handover
-        Token of the former owner.
+        Token of the former owner, for the next one.
     target
-        Next owner, if it is chosen.
+        Next owner, or `NO_OWNER` if none is chosen.
+    cause
+        Cause of the last change of the owner, or of the one in progress.
     """
 
     first: int
@@ -79,20 +81,21 @@
 
     @property
     def size(self) -> int:
-        """How many keys it holds."""
+        """Number of keys."""
         return self.last - self.first + 1
 
     @property
     def is_stable(self) -> bool:
-        """Whether its owner has confirmed it, and nothing is to be handed over."""
+        """Whether the owner has confirmed a grant, and no handover token has to be sent."""
         return self.phase is Phase.OWNED and self.confirmed_until != NEVER and not self.handover
 
     @property
     def routable_owner(self) -> str:
-        """Who may be sent requests for these keys, or `NO_OWNER`.
+        """Owner that may get requests for these keys, or `NO_OWNER`.
 
-        An owner that is silent may have its keys yet; one that leaves, or is relieved, gives them
-        up with its answer.
+        An unresponsive owner may still hold its keys while they are released. One that leaves or
+        gives up load no longer holds them once it has responded, and gets no requests from the
+        start of the release on.
         """
         if self.phase is Phase.RELEASING and self.cause is not OwnerChangeCause.SILENT:
             return NO_OWNER
@@ -101,7 +104,7 @@
         return self.owner
 
     def begin_ownership(self, owner: str, fence: int) -> None:
-        """The owner stands in the record, and is to be granted the keys under this fence."""
+        """Set the recorded owner, which is to be granted the keys under this fence."""
         self.owner = owner
         self.phase = Phase.OWNED
         self.fence = fence
@@ -112,7 +115,10 @@
         self.order_pending = False
 
     def split_at(self, position: int) -> RangeState:
-        """Keep the keys below a position, and return the rest as a range like this one."""
+        """Keep the keys below `position`, and return the others as a range with the same owner.
+
+        The new range has no pending order and no handover token.
+        """
         upper = RangeState(
             position,
             self.last,
--- a/src/limedeck/ownership/recording.py
+++ b/src/limedeck/ownership/recording.py
@@ -1,4 +1,4 @@
-"""The store's record of owners: a range's next owner stands there before it is granted."""
+"""Record of owners in the store; a range's next owner is written there before it gets a grant."""
 
 from __future__ import annotations
 
@@ -15,12 +15,14 @@
 
 
 class OwnerRecord:
-    """What this leader has written, and what it is writing: one record at a time.
+    """Sequence of records that this leader writes, one at a time.
 
     Parameters
     ----------
+    sequence
+        Sequence number of the record as it was read; zero if there is none.
     row_version
-        Of the record's row as it was read; zero if there is none.
+        Version of the record's row as it was read; zero if there is none.
     """
 
     def __init__(self, service: str, term: int, sequence: int, row_version: int) -> None:
@@ -32,13 +34,13 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether a record is being written; another one has to wait."""
+        """Whether a record is being written, so that another one has to wait."""
         return self._pending is not None
 
     def write(
         self, chosen: list[OwnerChoice], ranges: Iterable[RangeState], now: Seconds
     ) -> WriteRecord:
-        """Write the next owners of free ranges."""
+        """Begin to write the next owners of free ranges."""
         for found, _ in chosen:
             if found.held_until > now:
                 raise InvariantViolation("free-range-is-held-by-nobody", f"{found}")
@@ -47,7 +49,7 @@
         return WriteRecord(self._record(chosen, ranges), self._row_version)
 
     def complete_write(self, row_version: int) -> Sequence[OwnerChoice]:
-        """The store took the record; return the choices that stand there now."""
+        """Complete the pending write; return the choices that it recorded."""
         pending = self._pending
         if pending is None:
             raise InvariantViolation("written-record-was-pending", self._service)
@@ -56,13 +58,14 @@
         return pending
 
     def handle_failed(self) -> None:
-        """The record may or may not have been written; the same is written again."""
-        # The row's version decides: once a write has an answer, an earlier one is done or dead.
+        """Handle a write that may or may not have succeeded; the same record is written again."""
+        # Each write is conditional on the row version: once one has a result, earlier attempts
+        # have either succeeded or can no longer succeed.
         if self._pending is None:
             raise InvariantViolation("failed-record-was-pending", self._service)
 
     def is_own_record(self, record: AssignmentRecord | None) -> bool:
-        """Whether a record that stands in the store is the one that was written last."""
+        """Whether the record in the store is the one that this leader wrote last."""
         return record is not None and (record.term, record.sequence) == (self._term, self._sequence)
 
     def _record(self, chosen: list[OwnerChoice], ranges: Iterable[RangeState]) -> AssignmentRecord:
--- a/src/limedeck/ownership/releasing.py
+++ b/src/limedeck/ownership/releasing.py
@@ -1,4 +1,4 @@
-"""Ranges that are taken from their owners, under fences above all grants ever sent for them."""
+"""Releases of ranges by their owners, under fences above those of all grants sent for them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def begin_release(
     found: RangeState, cause: OwnerChangeCause, target: str, fences: FenceCounter
 ) -> None:
-    """Take a range from its owner, to give it to another one if `target` names it."""
+    """Begin to release a range at its owner, for the next owner `target` if one is chosen."""
     found.phase = Phase.RELEASING
     found.cause = cause
     found.target = target
@@ -23,7 +23,7 @@
 
 
 def end_release(found: RangeState, handover: str, now: Seconds) -> None:
-    """Nobody holds a range any more."""
+    """Mark a range as free: no back end holds it any more."""
     found.phase = Phase.FREE
     found.held_until = min(found.held_until, now)
     found.handover = handover
@@ -32,10 +32,10 @@
 def due_releases(
     ranges: Iterable[RangeState], fences: FenceCounter, now: Seconds
 ) -> Iterator[Release]:
-    """Yield what owners are to be asked now; one order for ranges side by side.
+    """Yield the releases that are due, one for adjacent ranges of one owner.
 
-    A hot spot is cut into dozens of ranges at once, and its owner, which has a long queue, resets
-    most of as many new connections.
+    A hot spot is split into dozens of ranges at once. Its owner has a long queue and would reset
+    most connections if one were opened for each range.
     """
     group: list[RangeState] = []
     for item in ranges:
--- a/src/limedeck/ownership/renewal.py
+++ b/src/limedeck/ownership/renewal.py
@@ -1,4 +1,4 @@
-"""Grants that are sent again before they run out."""
+"""Renewal of grants before they expire."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Renewals:
-    """When the owners of one service are granted their keys again, and for how long."""
+    """Determines when grants of one service's ranges are renewed, and for how long."""
 
     def __init__(self, timing: OwnershipTiming, liveness: OwnerLiveness) -> None:
         self._timing = timing
         self._liveness = liveness
 
     def due(self, found: RangeState, now: Seconds) -> Grant | None:
-        """Return the grant that is to be sent for a range now, if one is."""
+        """Return the grant that is due for a range; None if none is."""
         if found.order_pending or now < found.next_order:
             return None
         found.order_pending = True
@@ -31,32 +31,36 @@
     def record_granted(
         self, found: RangeState, order: Grant, sent_at: Seconds, owned_ranges: int, now: Seconds
     ) -> None:
-        """The owner has taken a grant.
+        """Record that the owner has accepted a grant.
 
         Parameters
         ----------
+        sent_at
+            When the grant was sent.
         owned_ranges
-            How many ranges it has.
+            Number of ranges of the owner.
         """
         found.confirmed_until = sent_at + order.duration
-        # A grant that was sent before, and had no answer, may run longer than this one.
+        # An earlier grant without a response may be valid for longer than this one.
         found.held_until = max(found.sent_until, now + self._timing.end_of(order.duration))
         found.handover = ""
         found.next_order = sent_at + self._interval(owned_ranges)
 
     def _interval(self, owned_ranges: int) -> Seconds:
-        """Time until a range is granted again: longer if its owner has others.
+        """Return the time until a range is renewed; longer if its owner has several ranges.
 
-        An owner is to be asked often enough to find soon that it is gone. With one order for each
-        of its ranges, a leader of hundreds of ranges would send more than it can.
+        An owner must get orders often enough that its failure is detected soon. With an order for
+        each range at that rate, a leader of hundreds of ranges could not send them all in time.
         """
         intervals = min(owned_ranges, self._timing.max_renewal_intervals)
         return self._timing.renewal_interval * max(intervals, 1)
 
     def _duration(self, owner: str, now: Seconds) -> Seconds:
-        """How long a grant runs: one that follows an order without an answer ends no later.
+        """Return the duration of a grant; it is shortened while an order has no response.
 
-        Keys of an owner that is gone wait for the end of every grant that it may have taken.
+        Keys of a failed owner are reassigned only after the end of every grant that it may have
+        accepted. So a grant sent after an order without a response ends no later than that one,
+        unless it would be shorter than `min_grant_time`.
         """
         requested_at = self._liveness.requested_at(owner)
         if requested_at is None:
