--- a/src/limedeck/ownership/range_map.py
+++ b/src/limedeck/ownership/range_map.py
@@ -95,7 +95,7 @@
         for item in self.ranges:
             if item.first != expected or item.last < item.first:
                 raise InvariantViolation(
-                    "ranges-cover-all-keys", f"position {expected} expected: {item}"
+                    "ranges-cover-all-keys", f"{item} is empty or does not start at {expected}"
                 )
             expected = item.last + 1
         if self.ranges and expected != self._key_positions:
