--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -1,4 +1,4 @@
-"""Playbooks of the election core: events in, commands out."""
+"""Tests of the election's state machine: events in, commands out."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def next_command(core: ElectionCore, since: float, until: float) -> tuple[object, float]:
-    """Tick until the core wants something."""
+    """Tick until the core returns a command."""
     now = since
     while now < until:
         command = core.handle_tick(now)
@@ -41,7 +41,7 @@
 
 
 def campaign_of(core: ElectionCore, seen: LeaderReadResult, since: float) -> tuple[Campaign, float]:
-    """Answer each reading of the rows alike until the core campaigns."""
+    """Return the same rows for each read until the core campaigns."""
     now = since
     for _ in range(10):
         command, now = next_command(core, now, now + 3.0)
@@ -52,7 +52,7 @@
     raise AssertionError("it never campaigned")
 
 
-def test_without_a_record_it_reads_then_writes_one() -> None:
+def test_node_without_a_record_reads_then_campaigns() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     command, now = next_command(core, 0.0, 2.0)
     assert command == ReadLeader(Suspicion.NO_RECORD)
@@ -67,15 +67,15 @@
 
 
 @pytest.mark.parametrize("processor", [0.43, 2.15])
-def test_a_node_that_starts_later_looks_for_the_leader_at_once(processor: float) -> None:
-    """Found on zhbs-gate-large trouble-1: weak machines began to look 0.23 s to 0.48 s later."""
+def test_restarted_node_reads_the_leader_at_once(processor: float) -> None:
+    """On zhbs-gate-large trouble-1, restarted weak nodes first read 0.23 s to 0.48 s later."""
     later = ElectionCore(ME, TIMING, 7.0, processor, first_start=False)
     assert later.handle_tick(7.0) == ReadLeader(Suspicion.NO_RECORD)
     first = ElectionCore(ME, TIMING, 7.0, processor, first_start=True)
     assert first.handle_tick(7.0) is None
 
 
-def test_a_leader_that_is_heard_is_left_alone() -> None:
+def test_leader_with_heartbeats_is_not_suspected() -> None:
     core = follower_of_other()
     for step in range(100):
         now = 100.0 + step * 0.1
@@ -83,7 +83,7 @@
         assert core.handle_tick(now) is None
 
 
-def test_a_silent_leader_that_the_store_confirmed_lately_is_not_replaced() -> None:
+def test_silent_leader_with_a_recent_confirmation_is_not_replaced() -> None:
     core = follower_of_other()
     command, now = next_command(core, 100.0, 103.0)
     assert command == ReadLeader(Suspicion.SILENT)
@@ -94,7 +94,7 @@
     assert core.role is Role.FOLLOWER
 
 
-def test_a_silent_leader_with_an_old_confirmation_is_replaced() -> None:
+def test_silent_leader_with_a_stale_confirmation_is_replaced() -> None:
     core = follower_of_other()
     _, now = next_command(core, 100.0, 103.0)
     core.handle_leader_read(LeaderReadResult(OTHER, 40, TIMING.stale_confirmation + 0.1), now)
@@ -103,8 +103,8 @@
     assert (command.record.term, command.row_version) == (5, 40)
 
 
-def test_a_winner_that_was_denied_its_leader_leads() -> None:
-    """Found on trouble-1: every winner stayed a follower, and the term rose four times a second."""
+def test_node_elected_after_a_denial_leads() -> None:
+    """On trouble-1, each elected node stayed a follower, and the term rose four times a second."""
     core = follower_of_other()
     core.handle_denial(4, 99, False)
     command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
@@ -113,13 +113,13 @@
     assert core.role is Role.LEADER
 
 
-def test_a_leader_that_does_not_know_yet_that_it_won_is_no_denial() -> None:
+def test_denial_by_the_incarnation_in_the_record_is_ignored() -> None:
     core = follower_of_other()
     core.handle_denial(4, OTHER.incarnation, False)
     assert core.handle_tick(100.3) is None
 
 
-def test_a_resigned_leader_is_replaced_at_once() -> None:
+def test_resigned_leader_is_replaced_at_once() -> None:
     core = follower_of_other()
     core.handle_denial(4, OTHER.incarnation, True)
     command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
@@ -127,13 +127,13 @@
     assert now < 100.6
 
 
-def test_a_denial_of_an_earlier_term_says_nothing() -> None:
+def test_denial_for_an_earlier_term_is_ignored() -> None:
     core = follower_of_other()
     core.handle_denial(3, 99, False)
     assert core.handle_tick(100.3) is None
 
 
-def test_a_win_whose_answer_was_lost_is_found_in_the_record() -> None:
+def test_election_whose_response_was_lost_is_detected_by_reading() -> None:
     core = follower_of_other()
     core.handle_denial(4, 99, False)
     command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 100.0)
@@ -145,7 +145,7 @@
     assert core.role is Role.LEADER
 
 
-def test_an_earlier_life_that_led_is_over() -> None:
+def test_leadership_of_an_earlier_incarnation_is_not_resumed() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     earlier = LeaderRecord(term=3, node_id="node-a", incarnation=10)
     _, now = next_command(core, 0.0, 1.0)
@@ -156,14 +156,14 @@
     assert command.record.term == 4
 
 
-def test_a_leader_that_lost_its_row_follows() -> None:
+def test_leader_that_reads_another_record_becomes_follower() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
     core.handle_leader_read(LeaderReadResult(OTHER, 40, None), 1.0)
     assert core.role is Role.FOLLOWER
 
 
-def test_renewals_end_when_the_store_is_silent_for_long() -> None:
+def test_renewals_stop_after_max_unconfirmed_time() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
     assert core.may_renew(TIMING.max_unconfirmed_time - 0.1)
@@ -172,12 +172,12 @@
     assert core.may_renew(TIMING.max_unconfirmed_time + 5.0)
 
 
-def test_a_leader_that_misses_the_store_is_followed_by_a_strong_machine() -> None:
-    """Found on zhbs-gate-large trouble-1: two weak machines led in turn, for three seconds each."""
+def test_leader_without_store_is_succeeded_by_a_strong_node() -> None:
+    """On zhbs-gate-large trouble-1, two weak nodes led alternately, for three seconds each."""
     processors = [2.15 if number % 13 == 0 else 0.43 for number in range(195)]
     fleet = candidate_priority.describe_fleet(processors)
     row = LeaderReadResult(OTHER, 40, 5.0)
-    stood: list[tuple[float, int]] = []
+    candidacies_at: list[tuple[float, int]] = []
     for number, processor in enumerate(processors):
         identity = LeaderRecord(node_id=f"node-{number}", incarnation=number + 100)
         core = ElectionCore(identity, TIMING, 0.0, processor)
@@ -189,15 +189,17 @@
                 core.handle_leader_read(row, silence)
             silence = round(silence + 0.05, 2)
             assert silence < 15.0
-        stood.append((silence, number))
-    stood.sort()
-    in_half_a_second = [number for at, number in stood if at < stood[0][0] + 0.5]
-    assert len(in_half_a_second) <= 8
-    assert all(number % 13 == 0 for number in in_half_a_second)
-    assert stood[0][0] < TIMING.unconfirmed_leader_timeout + 2.0
+        candidacies_at.append((silence, number))
+    candidacies_at.sort()
+    stood_in_half_a_second = [
+        number for at, number in candidacies_at if at < candidacies_at[0][0] + 0.5
+    ]
+    assert len(stood_in_half_a_second) <= 8
+    assert all(number % 13 == 0 for number in stood_in_half_a_second)
+    assert candidacies_at[0][0] < TIMING.unconfirmed_leader_timeout + 2.0
 
 
-def test_machines_that_are_all_weak_do_not_wait_for_strong_ones() -> None:
+def test_equally_weak_nodes_do_not_wait_for_strong_ones() -> None:
     equal = candidate_priority.CandidatePriority(0.43, TIMING.max_weak_node_delay)
     equal.fleet = candidate_priority.describe_fleet([0.43] * 78)
     assert equal.weak_node_delay == 0.0
@@ -207,14 +209,14 @@
     assert weak.staggered_delay(0.0) > max(staggering.delay(1.0, 2), 0.0)
 
 
-def test_a_leader_that_misses_the_store_is_replaced_if_its_confirmation_is_old() -> None:
+def test_leader_without_store_is_replaced_if_its_confirmation_is_stale() -> None:
     core = follower_of_other()
     core.handle_heartbeat(4, TIMING.unconfirmed_leader_timeout + 0.1, 100.2)
     command, _ = campaign_of(core, LeaderReadResult(OTHER, 40, 2.5), 100.2)
     assert command.why is Suspicion.STORE_UNREACHABLE
 
 
-def test_a_winner_names_those_that_may_still_renew_until_they_are_over() -> None:
+def test_elected_node_lists_former_leaders_until_they_have_ended() -> None:
     core = follower_of_other()
     core.handle_denial(4, 99, False)
     earlier = LeaderRecord()
@@ -231,8 +233,8 @@
     assert [item.node_id for item in core.former_leaders()] == ["node-c"]
 
 
-def test_a_process_that_was_over_may_lead_again_and_is_asked_again() -> None:
-    """Found by the simulation: it was taken for over since it had been so in an earlier term."""
+def test_former_leader_that_led_again_is_listed_again() -> None:
+    """In the simulation, it counted as ended because it had ended in an earlier term."""
     core = ElectionCore(ME, TIMING, 0.0)
     first = LeaderRecord(term=3, node_id="node-a", incarnation=11)
     first.former.add(node_id="node-b", incarnation=22, term=2)
@@ -245,7 +247,7 @@
     assert [item.term for item in core.former_leaders()] == [4]
 
 
-def test_a_late_win_of_a_term_that_was_said_to_be_over_is_not_taken_up() -> None:
+def test_election_in_a_superseded_term_is_ignored() -> None:
     core = follower_of_other()
     core.handle_denial(4, 99, False)
     command, now = campaign_of(core, LeaderReadResult(OTHER, 40, 0.1), 101.0)
@@ -254,7 +256,7 @@
     assert core.role is Role.FOLLOWER
 
 
-def test_a_leader_that_hears_of_a_later_term_stops() -> None:
+def test_leader_stops_renewing_when_a_later_term_is_known() -> None:
     core = ElectionCore(ME, TIMING, 0.0)
     core.handle_elected(LeaderRecord(term=3, node_id="node-a", incarnation=11), 30, 0.0)
     core.handle_superseded(3)
@@ -263,8 +265,8 @@
     assert not core.may_renew(0.1)
 
 
-def test_a_strong_machine_stands_before_a_weak_one() -> None:
-    """Found on klvs-gateway-grown: a leader with 0.43 of a core could not answer 77 nodes."""
+def test_strong_node_stands_before_a_weak_one() -> None:
+    """On klvs-gateway-grown, a leader with 0.43 of a core could not respond to 77 nodes."""
     waits = {}
     for processor in (0.43, 1.0, 2.15):
         core = ElectionCore(ME, TIMING, 0.0, processor)
@@ -278,8 +280,8 @@
     assert waits[0.43] - waits[1.0] == pytest.approx(0.57 * TIMING.max_weak_node_delay, abs=0.02)
 
 
-def test_a_resigned_leader_of_a_large_fleet_is_followed_by_a_strong_machine() -> None:
-    """Found on zhbs-gate-large scale-1: 152 of 195 nodes wrote at once, and a weak one won."""
+def test_resigned_leader_of_a_large_fleet_is_succeeded_by_a_strong_node() -> None:
+    """On zhbs-gate-large scale-1, 152 of 195 nodes campaigned at once, and a weak one won."""
     weak, strong = 0.43, 2.15
     cores = {
         f"node-{number}": ElectionCore(
@@ -327,7 +329,7 @@
     assert followed == {leaders[0]}
 
 
-def test_an_older_record_that_another_node_tells_is_not_taken_up() -> None:
+def test_older_record_from_a_peer_is_ignored() -> None:
     core = follower_of_other()
     core.handle_peer_record(LeaderRecord(term=3, node_id="node-c", incarnation=9), 39, 100.1)
     core.handle_peer_record(LeaderRecord(term=5, node_id="node-c", incarnation=9), 40, 100.1)
@@ -337,8 +339,8 @@
     assert core.record.node_id == "node-c"
 
 
-def test_a_record_that_names_this_node_makes_it_lead() -> None:
-    """Its answer from the store was lost; another node has read what was written."""
+def test_own_record_from_a_peer_makes_the_node_lead() -> None:
+    """The store's response to its campaign was lost, and another node has read the record."""
     core = follower_of_other()
     mine = LeaderRecord()
     mine.CopyFrom(ME)
@@ -348,7 +350,7 @@
 
 
 def leader_at(now: float) -> ElectionCore:
-    """A node that has just been elected in its first term."""
+    """Return a node that has just been elected in its first term."""
     core = ElectionCore(ME, TIMING, now)
     record = LeaderRecord()
     record.CopyFrom(ME)
@@ -358,23 +360,23 @@
     return core
 
 
-def test_a_leader_yields_only_after_some_time_in_office() -> None:
-    """Two nodes that fare alike would otherwise hand leadership to and fro."""
+def test_leader_yields_only_after_min_leadership_time() -> None:
+    """Otherwise two nodes that reach equally few owners would keep yielding to each other."""
     core = leader_at(10.0)
     core.handle_confirmed(10.0 + TIMING.min_leadership_time - 0.2)
     assert not core.may_yield(10.0 + TIMING.min_leadership_time - 0.1)
     assert core.may_yield(10.0 + TIMING.min_leadership_time)
 
 
-def test_a_leader_does_not_yield_while_the_store_does_not_confirm_it() -> None:
-    """Nobody could be elected, and all leases would end."""
+def test_leader_does_not_yield_without_recent_confirmation() -> None:
+    """No other node could be elected, and all leases would end."""
     core = leader_at(10.0)
     core.handle_confirmed(20.0)
     assert core.may_yield(20.0 + TIMING.stale_confirmation - 0.1)
     assert not core.may_yield(20.0 + TIMING.stale_confirmation + 0.1)
 
 
-def test_a_leader_that_has_yielded_lets_others_stand_first() -> None:
+def test_leader_that_has_yielded_does_not_stand_during_the_cooldown() -> None:
     core = leader_at(10.0)
     core.yield_leadership(15.0)
     assert core.role is Role.FOLLOWER
@@ -392,7 +394,7 @@
     assert core.term == OTHER.term
 
 
-def test_a_leader_that_has_yielded_leads_again_if_nobody_else_does() -> None:
+def test_leader_that_has_yielded_may_lead_again_after_the_cooldown() -> None:
     core = leader_at(10.0)
     core.yield_leadership(15.0)
     seen = LeaderReadResult(core.record, 50, 0.1)
--- a/tests/unit/test_fleet_backoffs.py
+++ b/tests/unit/test_fleet_backoffs.py
@@ -20,7 +20,7 @@
     return [BackendReport(BACKEND, 1, 1, 0.02)]
 
 
-def describe_fleet(nodes: int) -> FleetBackoffs:
+def fleet_of_nodes(nodes: int) -> FleetBackoffs:
     fleet = FleetBackoffs()
     for number in range(nodes):
         fleet.record_report(f"n{number}", [], 0.0)
@@ -28,13 +28,13 @@
 
 
 def test_backoff_of_one_node_is_not_sufficient() -> None:
-    fleet = describe_fleet(11)
+    fleet = fleet_of_nodes(11)
     fleet.record_report("n0", backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == set()
 
 
 def test_back_end_that_rejects_several_nodes_and_serves_none_is_rejecting() -> None:
-    fleet = describe_fleet(11)
+    fleet = fleet_of_nodes(11)
     for node in ("n0", "n1"):
         fleet.record_report(node, backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
@@ -42,7 +42,7 @@
 
 
 def test_back_end_that_serves_more_nodes_than_it_rejects_is_not_rejecting() -> None:
-    fleet = describe_fleet(11)
+    fleet = fleet_of_nodes(11)
     for node in ("n0", "n1"):
         fleet.record_report(node, backoff_report(3.0), 1.0)
     for node in ("n2", "n3", "n4"):
@@ -51,13 +51,13 @@
 
 
 def test_backoff_of_the_only_node_is_sufficient() -> None:
-    fleet = describe_fleet(1)
+    fleet = fleet_of_nodes(1)
     fleet.record_report("n0", backoff_report(3.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
 
 
 def test_back_end_is_avoided_as_owner_until_the_cooldown_ends() -> None:
-    fleet = describe_fleet(2)
+    fleet = fleet_of_nodes(2)
     for node in ("n0", "n1"):
         fleet.record_report(node, backoff_report(1.0), 1.0)
     assert fleet.update_rejecting(1.0) == {BACKEND}
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("ending", ["forget", "report"])
 def test_node_that_disconnects_or_stops_backing_off_is_not_counted(ending: str) -> None:
-    fleet = describe_fleet(3)
+    fleet = fleet_of_nodes(3)
     for node in ("n0", "n1"):
         fleet.record_report(node, backoff_report(9.0), 1.0)
     if ending == "forget":
@@ -91,7 +91,7 @@
 def test_records_of_recovered_back_ends_are_dropped(
     events: list[tuple[int, float, str]],
 ) -> None:
-    fleet = describe_fleet(11)
+    fleet = fleet_of_nodes(11)
     reports = {"off": backoff_report(3.0), "served": served_report(), "-": []}
     for number, at, kind in sorted(events, key=lambda item: item[1]):
         fleet.record_report(f"n{number}", reports[kind], at)
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -1,4 +1,4 @@
-"""Which back ends are passed over for their failures, and for how long."""
+"""Tests of the exclusion of back ends that fail more often than others."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
 SERVICES = dict.fromkeys(range(COUNT), "s")
 
 
-def feed(
+def report_attempts(
     detector: outliers.OutlierDetector, failing: dict[int, float], start: float, end: float
 ) -> list[tuple[float, frozenset[int]]]:
-    """Four requests a second to each back end that is used, a share of which fails."""
+    """Record 40 attempts per step for each back end that is not excluded, a share of them failed.
+
+    Returns the excluded back ends after each step.
+    """
     seen = []
     now = start
     excluded = detector.excluded(SERVICES, now)
@@ -31,51 +34,51 @@
     return seen
 
 
-def test_one_that_fails_more_often_than_the_others_is_excluded_and_comes_back() -> None:
+def test_outlier_is_excluded_and_returns_after_recovery() -> None:
     detector = outliers.OutlierDetector()
-    seen = feed(detector, {3: 0.6}, 0.0, 4.0)
+    seen = report_attempts(detector, {3: 0.6}, 0.0, 4.0)
     assert any(excluded == {3} for _, excluded in seen)
     assert all(excluded <= {3} for _, excluded in seen)
-    sound = feed(detector, {}, 4.0, 4.0 + outliers.MAX_EXCLUSION_TIME + STEP)
+    sound = report_attempts(detector, {}, 4.0, 4.0 + outliers.MAX_EXCLUSION_TIME + STEP)
     assert sound[-1][1] == frozenset()
 
 
-def test_one_that_goes_on_failing_is_excluded_for_longer_each_time() -> None:
-    seen = feed(outliers.OutlierDetector(), {3: 0.9}, 0.0, 30.0)
-    spans = []
+def test_repeated_exclusions_grow_up_to_the_limit() -> None:
+    seen = report_attempts(outliers.OutlierDetector(), {3: 0.9}, 0.0, 30.0)
+    exclusion_times = []
     begin = None
     for now, excluded in seen:
         if 3 in excluded and begin is None:
             begin = now
         elif 3 not in excluded and begin is not None:
-            spans.append(now - begin)
+            exclusion_times.append(now - begin)
             begin = None
-    assert spans[:3] == [1.5, 3.0, 6.0]
-    assert max(spans) <= outliers.MAX_EXCLUSION_TIME + STEP
+    assert exclusion_times[:3] == [1.5, 3.0, 6.0]
+    assert max(exclusion_times) <= outliers.MAX_EXCLUSION_TIME + STEP
 
 
-def test_errors_that_come_from_all_alike_exclude_nobody() -> None:
-    seen = feed(outliers.OutlierDetector(), dict.fromkeys(SERVICES, 0.7), 0.0, 10.0)
+def test_failures_of_all_back_ends_exclude_none() -> None:
+    seen = report_attempts(outliers.OutlierDetector(), dict.fromkeys(SERVICES, 0.7), 0.0, 10.0)
     assert all(not excluded for _, excluded in seen)
 
 
-def test_a_few_failures_are_chance() -> None:
+def test_few_attempts_are_not_sufficient() -> None:
     detector = outliers.OutlierDetector()
     for backend in SERVICES:
         detector.record(backend, 4, 3 if backend == 0 else 0, 1.0)
     assert not detector.excluded(SERVICES, 1.0)
 
 
-def test_one_that_is_not_listed_any_more_is_forgotten() -> None:
+def test_back_end_that_is_not_listed_is_forgotten() -> None:
     detector = outliers.OutlierDetector()
-    feed(detector, {3: 0.9}, 0.0, 1.0)
+    report_attempts(detector, {3: 0.9}, 0.0, 1.0)
     rest = {key: value for key, value in SERVICES.items() if key != 3}
     assert not detector.excluded(rest, 1.0)
     assert not detector.excluded(SERVICES, 1.0)
 
 
 class OutlierMachine(RuleBasedStateMachine):
-    """Any reports at any time: never too many are excluded, and nobody for too long."""
+    """For any reports at any time, exclusions stay within their limits of number and duration."""
 
     def __init__(self) -> None:
         super().__init__()
