--- a/src/limedeck/ownership/service.py
+++ b/src/limedeck/ownership/service.py
@@ -3,9 +3,10 @@
 `ServiceOwnership.handle_tick` does the following:
 
 1. It renews the grant of each range that stays with its owner, before the lease ends (`renewal`).
-2. It releases each range whose owner leaves or has to give up load, under a fence above those of
-   all grants sent for it (`releasing`). The range becomes free only by the owner's response, the
-   end of every lease, or a later incarnation of the owner that refuses such grants (`barriers`).
+2. It releases each range whose owner leaves, fails or has to give up load, under a fence above
+   those of all grants sent for it (`releasing`). The range becomes free only by the owner's
+   response, the end of every lease, or a later incarnation of the owner that refuses such grants
+   (`barriers`).
 3. It writes the next owner of a free range to the record in the store (`recording`), and sends the
    grant only after that.
 4. It moves ranges to back ends that have capacity for their load (`balancing`).
@@ -322,16 +323,16 @@
         if not candidates:
             return []
         capacities = self._balance.capacities(candidates, self._backends)
-        uses = dict.fromkeys(candidates, 0.0)
+        utilizations = dict.fromkeys(candidates, 0.0)
         for item in self.ranges:
-            if item.phase is not Phase.FREE and item.owner in uses:
-                uses[item.owner] += self._balance.weight(item, now) / capacities[item.owner]
+            if item.phase is not Phase.FREE and item.owner in utilizations:
+                utilizations[item.owner] += self._balance.weight(item, now) / capacities[item.owner]
         chosen = []
         for item in free:
             target = item.target
             if target not in candidates:
-                target = least_loaded(uses)
-            uses[target] += self._balance.weight(item, now) / capacities[target]
+                target = least_loaded(utilizations)
+            utilizations[target] += self._balance.weight(item, now) / capacities[target]
             chosen.append((item, target))
         return chosen
 
