--- a/src/limedeck/ownership/leader_permits.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -1,4 +1,4 @@
-"""A leader's permits for back ends that bear little: begun anew in each term, over with it."""
+"""Permits that the leader issues for rate-bounded back ends; their state lasts for one term."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 from limedeck.identity import Seconds
 from limedeck.ownership.election import ElectionCore, Role
 
-UNHEARD_PAUSE: Seconds = 0.3
-"""Without a leader's answer a node asks again after so long: about the time of an election."""
-NO_LEADER_RESPONSE = PermitDenied(UNHEARD_PAUSE)
-"""What is assumed without a leader's answer."""
+NO_RESPONSE_RETRY_DELAY: Seconds = 0.3
+"""Delay before a node without a leader's response requests a permit again; about the time of an
+election."""
+NO_LEADER_RESPONSE = PermitDenied(NO_RESPONSE_RETRY_DELAY)
+"""Response that is assumed if the leader does not respond."""
 
 
 class LeaderPermitIssuer:
-    """Lends permits while this node leads, as far as it knows."""
+    """Issues permits while this node leads, as far as it knows."""
 
     def __init__(self, election: ElectionCore) -> None:
         self._election = election
-        self._lender: PermitIssuer | None = None
+        self._issuer: PermitIssuer | None = None
         self._term = 0
 
     @property
@@ -26,24 +27,24 @@
         return self._election.role is Role.LEADER
 
     def handle_tick(self, now: Seconds) -> None:
-        """Begin anew in each term, and end with it."""
+        """Start without permits in each term, and drop them at its end."""
         if not self.leads:
-            self._lender = None
+            self._issuer = None
             return
-        if self._lender is None or self._term != self._election.term:
-            self._lender = PermitIssuer(now)
+        if self._issuer is None or self._term != self._election.term:
+            self._issuer = PermitIssuer(now)
             self._term = self._election.term
-        self._lender.forget_old(now)
+        self._issuer.forget_old(now)
 
     def issue(self, request: PermitRequest, known: float | None, now: Seconds) -> PermitResponse:
-        """Lend a permit, if there is room.
+        """Issue a permit, if the rate bound allows it.
 
         Parameters
         ----------
         known
-            Requests a second that this node believes the back end takes; None: without bound.
+            Rate bound of the back end as this node knows it; None if there is none.
         """
         is_in_office = self.leads and self._term == self._election.term
-        if self._lender is None or not is_in_office:
+        if self._issuer is None or not is_in_office:
             return NO_LEADER_RESPONSE
-        return self._lender.issue(request, known, self._election.store_silence(now), now)
+        return self._issuer.issue(request, known, self._election.store_silence(now), now)
--- a/src/limedeck/ownership/recording.py
+++ b/src/limedeck/ownership/recording.py
@@ -1,4 +1,4 @@
-"""The store's record of owners: a range's next owner stands there before it is granted."""
+"""Record of owners in the store; a range's next owner is written there before it gets a grant."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from limedeck.ownership.commands import WriteRecord
 from limedeck.ownership.ranges import RangeState
 
-Choice = tuple[RangeState, str]
+OwnerChoice = tuple[RangeState, str]
 """A free range and its next owner."""
 
 
 class OwnerRecord:
-    """What this leader has written, and what it is writing: one record at a time.
+    """Sequence of records that this leader writes, one at a time.
 
     Parameters
     ----------
+    sequence
+        Sequence number of the record as it was read; zero if there is none.
     row_version
-        Of the record's row as it was read; zero if there is none.
+        Version of the record's row as it was read; zero if there is none.
     """
 
     def __init__(self, service: str, term: int, sequence: int, row_version: int) -> None:
@@ -28,17 +30,17 @@
         self._term = term
         self._sequence = sequence
         self._row_version = row_version
-        self._pending: list[Choice] | None = None
+        self._pending: list[OwnerChoice] | None = None
 
     @property
     def is_pending(self) -> bool:
-        """Whether a record is being written; another one has to wait."""
+        """Whether a record is being written, so that another one has to wait."""
         return self._pending is not None
 
     def write(
-        self, chosen: list[Choice], ranges: Iterable[RangeState], now: Seconds
+        self, chosen: list[OwnerChoice], ranges: Iterable[RangeState], now: Seconds
     ) -> WriteRecord:
-        """Write the next owners of free ranges."""
+        """Begin to write the next owners of free ranges."""
         for found, _ in chosen:
             if found.held_until > now:
                 raise InvariantViolation("free-range-is-held-by-nobody", f"{found}")
@@ -46,8 +48,8 @@
         self._sequence += 1
         return WriteRecord(self._record(chosen, ranges), self._row_version)
 
-    def take_written(self, row_version: int) -> Sequence[Choice]:
-        """The store took the record; return the choices that stand there now."""
+    def complete_write(self, row_version: int) -> Sequence[OwnerChoice]:
+        """Complete the pending write; return the choices that it recorded."""
         pending = self._pending
         if pending is None:
             raise InvariantViolation("written-record-was-pending", self._service)
@@ -56,16 +58,17 @@
         return pending
 
     def handle_failed(self) -> None:
-        """The record may or may not have been written; the same is written again."""
-        # The row's version decides: once a write has an answer, an earlier one is done or dead.
+        """Handle a write that may or may not have succeeded; the same record is written again."""
+        # Each write is conditional on the row version: once one has a result, earlier attempts
+        # have either succeeded or can no longer succeed.
         if self._pending is None:
             raise InvariantViolation("failed-record-was-pending", self._service)
 
     def is_own_record(self, record: AssignmentRecord | None) -> bool:
-        """Whether a record that stands in the store is the one that was written last."""
+        """Whether the record in the store is the one that this leader wrote last."""
         return record is not None and (record.term, record.sequence) == (self._term, self._sequence)
 
-    def _record(self, chosen: list[Choice], ranges: Iterable[RangeState]) -> AssignmentRecord:
+    def _record(self, chosen: list[OwnerChoice], ranges: Iterable[RangeState]) -> AssignmentRecord:
         owners = {found.first: owner for found, owner in chosen}
         record = AssignmentRecord(term=self._term, sequence=self._sequence)
         for item in ranges:
--- a/src/limedeck/ownership/renewal.py
+++ b/src/limedeck/ownership/renewal.py
@@ -1,23 +1,23 @@
-"""Grants that are sent again before they run out."""
+"""Renewal of grants before they expire."""
 
 from __future__ import annotations
 
 from limedeck.identity import Seconds
 from limedeck.ownership.orders import Grant
-from limedeck.ownership.owner_liveness import OwnerSilence
+from limedeck.ownership.owner_liveness import OwnerLiveness
 from limedeck.ownership.ranges import RangeState
 from limedeck.ownership.timing import OwnershipTiming
 
 
 class Renewals:
-    """When the owners of one service are granted their keys again, and for how long."""
+    """Determines when grants of one service's ranges are renewed, and for how long."""
 
-    def __init__(self, timing: OwnershipTiming, silence: OwnerSilence) -> None:
+    def __init__(self, timing: OwnershipTiming, liveness: OwnerLiveness) -> None:
         self._timing = timing
-        self._silence = silence
+        self._liveness = liveness
 
     def due(self, found: RangeState, now: Seconds) -> Grant | None:
-        """Return the grant that is to be sent for a range now, if one is."""
+        """Return the grant that is due for a range; None if none is."""
         if found.order_pending or now < found.next_order:
             return None
         found.order_pending = True
@@ -25,41 +25,45 @@
         end = now + self._timing.end_of(duration) + self._timing.order_timeout
         found.sent_until = max(found.sent_until, end)
         found.held_until = max(found.held_until, end)
-        self._silence.note_asked(found.owner, now)
+        self._liveness.record_order_sent(found.owner, now)
         return Grant(found.owner, found.first, found.last, found.fence, duration, found.handover)
 
-    def note_done(
+    def record_granted(
         self, found: RangeState, order: Grant, sent_at: Seconds, owned_ranges: int, now: Seconds
     ) -> None:
-        """The owner has taken a grant.
+        """Record that the owner has accepted a grant.
 
         Parameters
         ----------
+        sent_at
+            When the grant was sent.
         owned_ranges
-            How many ranges it has.
+            Number of ranges of the owner.
         """
         found.confirmed_until = sent_at + order.duration
-        # A grant that was sent before, and had no answer, may run longer than this one.
+        # An earlier grant without a response may be valid for longer than this one.
         found.held_until = max(found.sent_until, now + self._timing.end_of(order.duration))
         found.handover = ""
         found.next_order = sent_at + self._interval(owned_ranges)
 
     def _interval(self, owned_ranges: int) -> Seconds:
-        """Time until a range is granted again: longer if its owner has others.
+        """Return the time until a range is renewed; longer if its owner has several ranges.
 
-        An owner is to be asked often enough to find soon that it is gone. With one order for each
-        of its ranges, a leader of hundreds of ranges would send more than it can.
+        An owner must get orders often enough that its failure is detected soon. With an order for
+        each range at that rate, a leader of hundreds of ranges could not send them all in time.
         """
-        intervals = min(owned_ranges, self._timing.most_renewal_intervals)
+        intervals = min(owned_ranges, self._timing.max_renewal_intervals)
         return self._timing.renewal_interval * max(intervals, 1)
 
     def _duration(self, owner: str, now: Seconds) -> Seconds:
-        """How long a grant runs: one that follows an order without an answer ends no later.
+        """Return the duration of a grant; it is shortened while an order has no response.
 
-        Keys of an owner that is gone wait for the end of every grant that it may have taken.
+        Keys of a failed owner are reassigned only after the end of every grant that it may have
+        accepted. So a grant sent after an order without a response ends no later than that one,
+        unless it would be shorter than `min_grant_time`.
         """
-        requested_at = self._silence.requested_at(owner)
+        requested_at = self._liveness.requested_at(owner)
         if requested_at is None:
             return self._timing.lease
         time_left = requested_at + self._timing.longest_lease - now
-        return max(self._timing.duration_within(time_left), self._timing.shortest_grant)
+        return max(self._timing.max_duration_within(time_left), self._timing.min_grant_time)
