--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: the same examples every time, and the tests that are known to be red."""
+"""Shared test configuration: reproducible Hypothesis examples, and tests known to fail."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """A known red test runs, and its failure does not fail the run."""
-    listed = known_red.listed()
+    """Mark known red tests as expected failures: they run, but do not fail the run."""
+    listed = known_red.load()
     for item in items:
         known = listed.get(item.nodeid)
         if known is not None:
@@ -21,8 +21,8 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the known red tests, and how they went this time."""
-    listed = known_red.listed()
+    """Print the outcome of each known red test."""
+    listed = known_red.load()
     for outcome in ("xfailed", "xpassed"):
         for report in terminalreporter.stats.get(outcome, []):
             if report.nodeid in listed:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root.
+"""Tests that fail because of a known, open fault, listed in KNOWN-RED.txt at the root.
 
-Each line names a test, the cause and the issue, separated by ``|``. These tests run all the same;
-CI passes over just their failures and prints them.
+Each line names a test, the cause and the issue, separated by ``|``. These tests still run; CI
+ignores only their failures, and prints them.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 import dataclasses
 import pathlib
 
-FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-FIELDS = 3
+KNOWN_RED_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+FIELD_COUNT = 3
 
 
 class BadLine(ValueError):
-    """A line of the file cannot be read."""
+    """A line of the file is malformed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class KnownRed:
-    """One line."""
+    """One line of the file."""
 
     test: str
     cause: str
@@ -29,25 +29,25 @@
         return f"{self.test}: {self.cause} ({self.issue})"
 
 
-def read(text: str) -> dict[str, KnownRed]:
-    """Read the lines, by the id of their test.
+def parse(text: str) -> dict[str, KnownRed]:
+    """Parse the lines, by the id of their test.
 
     Raises
     ------
     BadLine
-        A line has not just a test, a cause and an issue.
+        A line does not consist of a test, a cause and an issue, or lists a test twice.
     """
     found: dict[str, KnownRed] = {}
     for line in text.splitlines():
         if not line.strip():
             continue
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != FIELDS or not all(parts) or parts[0] in found:
+        if len(parts) != FIELD_COUNT or not all(parts) or parts[0] in found:
             raise BadLine(line)
         found[parts[0]] = KnownRed(*parts)
     return found
 
 
-def listed() -> dict[str, KnownRed]:
-    """What the file lists; nothing if there is none."""
-    return read(FILE.read_text()) if FILE.exists() else {}
+def load() -> dict[str, KnownRed]:
+    """Return the listed tests; none if there is no file."""
+    return parse(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.exists() else {}
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that go on using open connections until the process at the other end is gone."""
+"""Client connections that stay in use until the server process closes them."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 import socket
 import time
 
-PATIENCE = 4.0
-"""Above the deadline that callers tell, after which a node must have answered."""
+RESPONSE_TIMEOUT = 4.0
+"""Seconds; longer than the deadline that callers send, by which a node must have responded."""
 
 
 class Ending(enum.Enum):
     """How a request ended."""
 
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     CLOSED = "closed"
-    NO_ANSWER = "no-answer"
+    NO_RESPONSE = "no-answer"
     NOT_CONNECTED = "not-connected"
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
-    """What came of one request.
+class Outcome:
+    """The outcome of one request.
 
     Parameters
     ----------
     began, ended
-        On this process's steady clock, in seconds.
+        On this process's monotonic clock, in seconds.
     """
 
     ending: Ending
@@ -39,42 +39,42 @@
     body: bytes = b""
 
 
-class KeptConnection:
-    """One connection; what the answers say of closing it is not heeded."""
+class PersistentConnection:
+    """One keep-alive connection; ignores `connection: close` in responses."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self._socket: socket.socket | None = None
 
-    def exchange(self, path: str, headers: dict[str, str]) -> Reply:
-        """Send a request and wait for its answer."""
+    def exchange(self, path: str, headers: dict[str, str]) -> Outcome:
+        """Send a request and wait for its response."""
         began = time.monotonic()
         try:
             connection = self._socket or self._open()
         except OSError:
-            return Reply(Ending.NOT_CONNECTED, began, time.monotonic())
+            return Outcome(Ending.NOT_CONNECTED, began, time.monotonic())
         lines = [f"GET {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         try:
             connection.sendall("\r\n".join([*lines, "", ""]).encode())
-            answer = http.client.HTTPResponse(connection, method="GET")
-            answer.begin()
-            body = answer.read()
+            response = http.client.HTTPResponse(connection, method="GET")
+            response.begin()
+            body = response.read()
         except TimeoutError:
             self.close()
-            return Reply(Ending.NO_ANSWER, began, time.monotonic())
+            return Outcome(Ending.NO_RESPONSE, began, time.monotonic())
         except (OSError, http.client.HTTPException):
             self.close()
-            return Reply(Ending.CLOSED, began, time.monotonic())
-        told = answer.headers.get("x-attempt-id", "")
-        return Reply(Ending.ANSWERED, began, time.monotonic(), answer.status, told, body)
+            return Outcome(Ending.CLOSED, began, time.monotonic())
+        request_id = response.headers.get("x-attempt-id", "")
+        return Outcome(Ending.RESPONDED, began, time.monotonic(), response.status, request_id, body)
 
     def close(self) -> None:
-        """Drop it; the next request opens another."""
+        """Close the connection; the next request opens another."""
         if self._socket is not None:
             self._socket.close()
         self._socket = None
 
     def _open(self) -> socket.socket:
         host, _, port = self.address.rpartition(":")
-        self._socket = socket.create_connection((host, int(port)), timeout=PATIENCE)
+        self._socket = socket.create_connection((host, int(port)), timeout=RESPONSE_TIMEOUT)
         return self._socket
--- a/tests/soak/judging.py
+++ b/tests/soak/judging.py
@@ -1,4 +1,4 @@
-"""What a soak holds against the nodes: promises to callers, and to operators."""
+"""Checks of a soak: the guarantees that nodes give to callers and operators."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 from tests.soak import callers, limit_judging, statement_judging
 from tests.system import platform_site
 
-EXCUSE = 0.5
-"""Orders that a pause or a proxy held up may be taken so long after; nobody judges them."""
-LEASE = 2.2
-"""A grant that was taken late runs so long."""
-TOUCH = 3.0
-"""After an unplanned fault, promises with a time bound bind again so many seconds later."""
-CONFIGURED = 2.5
+HELD_UP_GRACE = 0.5
+"""Seconds after a pause or a proxy's fault in which a back end may still accept delayed orders.
+
+Ownership is not checked meanwhile.
+"""
+LEASE_TIME = 2.2
+"""Seconds for which a grant runs that was accepted late."""
+FAULT_GRACE = 3.0
+"""Seconds after an unplanned fault in which guarantees with a time bound are not checked."""
+CONFIGURATION_TIME = 2.5
 """Seconds after which a new configuration must be in force."""
-CROSSING = 0.2
-"""A request that was sent so shortly before its connection ended may not have been read."""
-KNOWN = 3.0
-"""Seconds after the third back end has ended under a request until all nodes know it."""
-MOST_LATER_CRASHES = 3
-EVACUATED = 4.5
-"""Seconds after a zone's evacuation was asked for until nothing may reach its back ends."""
-MOST_WHILE_COLD = 14
-"""Requests in any second that a cold back end may get from all nodes."""
-MOST_TOLD = 5
+CLOSE_RACE_TIME = 0.2
+"""Seconds; a request sent this shortly before its connection was closed may not have been read."""
+CRASH_UPDATE_TIME = 3.0
+"""Seconds after a request has crashed a third back end until all nodes know of it."""
+MAX_LATER_CRASHES = 3
+EVACUATION_TIME = 4.5
+"""Seconds after a zone's evacuation was requested until no request may reach its back ends."""
+MAX_REQUESTS_WHILE_COLD = 14
+"""Requests that a cold back end may receive in any second from all nodes together."""
+MAX_REPORTED = 5
 
 
 @dataclasses.dataclass
 class Result:
-    """What a soak saw."""
+    """The result of a soak."""
 
     seed: int
     nodes: int
@@ -42,198 +45,201 @@
     violations: list[str] = dataclasses.field(default_factory=list)
 
     def as_json(self) -> str:
-        """One line."""
+        """Return one line of JSON."""
         return json.dumps(vars(self))
 
 
 class JudgedSite(platform_site.Site):
-    """A site whose judge excuses what a fault held up on its way."""
+    """A site that does not check ownership while faults delay orders in transit."""
 
-    excused_until = 0.0
+    held_up_until = 0.0
 
     def __init__(self) -> None:
         super().__init__()
         self.held_up: list[tuple[float, float]] = []
-        """From when until when requests and orders may have been held up on their way."""
+        """Periods (begin, end) in which requests and orders may have been delayed in transit."""
 
-    def excuse(self, seconds: float) -> None:
-        """A fault that holds orders up is on for so long."""
-        until = time.monotonic() + seconds + EXCUSE + LEASE
+    def record_held_up(self, seconds: float) -> None:
+        """Record that a fault delays requests and orders for some seconds from now on."""
+        until = time.monotonic() + seconds + HELD_UP_GRACE + LEASE_TIME
         self.held_up.append((time.monotonic(), until))
-        self.excused_until = max(self.excused_until, until)
+        self.held_up_until = max(self.held_up_until, until)
 
     def judge(self) -> None:
-        if time.monotonic() > self.excused_until:
+        if time.monotonic() > self.held_up_until:
             super().judge()
 
 
 @dataclasses.dataclass(frozen=True)
 class Version:
-    """A configuration, and when it was written; it has a route that no other one has."""
+    """A configuration, which has a route of its own, and when it was written."""
 
     number: int
     written: float
 
     @property
     def prefix(self) -> str:
-        """Of its own route."""
+        """The path prefix of the route that only this configuration has."""
         return f"/only-{self.number}/"
 
 
 class Judge:
-    """Holds what callers saw against what happened; called from several threads."""
+    """Checks what callers observed against what happened on the site; thread-safe."""
 
     def __init__(self, result: Result, site: JudgedSite) -> None:
         self._result = result
         self._site = site
         self._lock = threading.Lock()
         self._unplanned_until = 0.0
-        self._seen: dict[str, tuple[int, float]] = {}
-        """By node: the newest configuration that was seen in force, and when."""
+        self._newest_seen: dict[str, tuple[int, float]] = {}
+        """By node: the newest configuration observed in force, and when."""
         self._versions: list[Version] = []
         self._senders: dict[str, str] = {}
-        """By request: the life of the node that it was sent to."""
+        """By request: the node, with its incarnation, that it was sent to."""
         self._sent: dict[str, statement_judging.SentRequest] = {}
-        self._lives: collections.Counter[str] = collections.Counter()
+        self._incarnations: collections.Counter[str] = collections.Counter()
         self._unsafe: set[str] = set()
         self._refused: set[str] = set()
-        self._lost: list[tuple[str, callers.Reply]] = []
+        self._lost: list[tuple[str, callers.Outcome]] = []
 
-    # ------------------------------------------------------------------ what happens
+    # ------------------------------------------------------------------ faults and changes
 
-    def note_unplanned(self, seconds: float = 0.0) -> None:
-        """A fault that nobody planned is on from now for so long."""
+    def record_unplanned_fault(self, seconds: float = 0.0) -> None:
+        """Record that an unplanned fault lasts for some seconds from now on."""
         with self._lock:
-            until = time.monotonic() + seconds + TOUCH
+            until = time.monotonic() + seconds + FAULT_GRACE
             self._unplanned_until = max(self._unplanned_until, until)
 
     def is_calm_since(self, began: float) -> bool:
-        """Whether nothing unplanned has happened from some time before `began` until now."""
+        """Whether `began` is after the grace period of the last unplanned fault."""
         with self._lock:
             return began > self._unplanned_until
 
-    def note_version(self, number: int) -> None:
-        """A configuration was written."""
+    def record_version(self, number: int) -> None:
+        """Record that a configuration was written."""
         with self._lock:
             self._versions.append(Version(number, time.monotonic()))
 
     def versions(self) -> list[Version]:
-        """Those that were written last, the newest last."""
+        """Return the last two configurations that were written, the newest last."""
         with self._lock:
             return self._versions[-2:]
 
-    # ------------------------------------------------------------------ what callers see
+    # ------------------------------------------------------------------ requests of callers
 
-    def note_started(self, address: str) -> None:
-        """A node's next life has begun at an address."""
+    def record_node_start(self, address: str) -> None:
+        """Record that a new incarnation of a node has started at an address."""
         with self._lock:
-            self._lives[address] += 1
+            self._incarnations[address] += 1
 
     def record_sent(self, request: str, address: str, is_unsafe: bool) -> None:
-        """A request is about to be sent to the node at an address."""
+        """Record that a request is about to be sent to the node at an address."""
         with self._lock:
-            node = f"{address}/{self._lives[address]}"
+            node = f"{address}/{self._incarnations[address]}"
             self._senders[request] = node
             self._sent[request] = statement_judging.SentRequest(node, time.monotonic())
             if is_unsafe:
                 self._unsafe.add(request)
 
-    def note_reply(
-        self, request: str, address: str, reply: callers.Reply, version: Version | None
+    def record_outcome(
+        self, request: str, address: str, outcome: callers.Outcome, version: Version | None
     ) -> None:
-        """A request has ended.
+        """Record how a request ended, and check its response.
 
         Parameters
         ----------
         version
-            The configuration that alone has its route; None if all have it.
+            The only configuration that has the route of the request; None if all have it.
         """
         if self._site.store.faults:
-            # Faults of the store wait until nodes call it, which may be long after they were drawn.
-            self.note_unplanned()
+            # A fault of the store stays queued until a node calls the store, which may be long
+            # after it was drawn.
+            self.record_unplanned_fault()
         with self._lock:
-            shown = str(reply.status) if reply.status else reply.ending.value
-            self._result.statuses[shown] += 1
-            if reply.ending is callers.Ending.ANSWERED:
-                self._judge_answer(request, reply, version)
+            key = str(outcome.status) if outcome.status else outcome.ending.value
+            self._result.statuses[key] += 1
+            if outcome.ending is callers.Ending.RESPONDED:
+                self._judge_response(request, outcome, version)
                 if version is not None:
-                    self._judge_version(address, reply, version)
-            elif reply.ending is not callers.Ending.NOT_CONNECTED and self._is_calm(reply):
-                self._lost.append((request, reply))
+                    self._judge_version(address, outcome, version)
+            elif outcome.ending is not callers.Ending.NOT_CONNECTED and self._is_calm(outcome):
+                self._lost.append((request, outcome))
 
-    def _judge_answer(self, request: str, reply: callers.Reply, version: Version | None) -> None:
-        if reply.status == 503:
+    def _judge_response(
+        self, request: str, outcome: callers.Outcome, version: Version | None
+    ) -> None:
+        if outcome.status == 503:
             self._refused.add(request)
-        elif reply.status == 200:
-            if reply.request_id != request or reply.body != request.encode() + b":":
-                self._blame(f"answer of another request: {request}")
-        elif reply.status not in (502, 504) and (version is None or reply.status != 404):
-            self._blame(f"status {reply.status}: {request}")
+        elif outcome.status == 200:
+            if outcome.request_id != request or outcome.body != request.encode() + b":":
+                self._report(f"answer of another request: {request}")
+        elif outcome.status not in (502, 504) and (version is None or outcome.status != 404):
+            self._report(f"status {outcome.status}: {request}")
 
-    def _judge_version(self, address: str, reply: callers.Reply, version: Version) -> None:
+    def _judge_version(self, address: str, outcome: callers.Outcome, version: Version) -> None:
         newest = self._versions[-1]
-        if reply.status == 200:
-            seen, since = self._seen.get(address, (0, 0.0))
+        if outcome.status == 200:
+            seen, since = self._newest_seen.get(address, (0, 0.0))
             if version.number > seen:
-                self._seen[address] = (version.number, reply.ended)
-            elif version.number < seen and reply.began > since:
-                self._blame(f"configuration {version.number} in force after {seen} at {address}")
-        in_force = reply.began > newest.written + CONFIGURED and self._is_calm(reply)
+                self._newest_seen[address] = (version.number, outcome.ended)
+            elif version.number < seen and outcome.began > since:
+                self._report(f"configuration {version.number} in force after {seen} at {address}")
+        in_force = outcome.began > newest.written + CONFIGURATION_TIME and self._is_calm(outcome)
         if not in_force:
             return
-        if version is newest and reply.status == 404:
-            self._blame(f"configuration {version.number} not in force at {address}")
-        elif version is not newest and reply.status == 200:
-            self._blame(f"route of configuration {version.number} still served at {address}")
+        if version is newest and outcome.status == 404:
+            self._report(f"configuration {version.number} not in force at {address}")
+        elif version is not newest and outcome.status == 200:
+            self._report(f"route of configuration {version.number} still served at {address}")
 
-    def _is_calm(self, reply: callers.Reply) -> bool:
-        """Whether nothing unplanned has happened from some time before until now."""
-        return reply.began > self._unplanned_until
+    def _is_calm(self, outcome: callers.Outcome) -> bool:
+        """Whether the request began after the grace period of the last unplanned fault."""
+        return outcome.began > self._unplanned_until
 
-    def note_evacuation(self, runs: list[str]) -> None:
-        """These requests came to a zone in a calm time, long after its evacuation was asked for."""
+    def judge_evacuation(self, runs: list[str]) -> None:
+        """Report requests that ran in an evacuated zone, in a time without unplanned faults."""
         with self._lock:
-            self.blame_all("ran in an evacuated zone", runs)
+            self.report_all("ran in an evacuated zone", runs)
 
-    def note_crashes(self, body: bytes, later: int) -> None:
-        """So many back ends ended under a request that all nodes in touch must have known."""
-        if later > MOST_LATER_CRASHES:
+    def judge_later_crashes(self, body: bytes, later: int) -> None:
+        """Check how many back ends a request crashed after all connected nodes must know it."""
+        if later > MAX_LATER_CRASHES:
             with self._lock:
-                self._blame(f"{later} back ends ended under {body!r} after it must be known")
+                self._report(f"{later} back ends ended under {body!r} after it must be known")
 
-    # ------------------------------------------------------------------ the end
+    # ------------------------------------------------------------------ end of the soak
 
     def judge_end(self) -> None:
-        """Judge what takes all that ran."""
+        """Make the checks that need the records of the whole soak."""
         ran = collections.Counter(request for request, _ in self._site.runs)
-        self.blame_all("ran twice", [item for item in sorted(self._unsafe) if ran[item] > 1])
-        self.blame_all("refused and yet run", [item for item in self._refused if ran[item]])
-        self.blame_all("two owners", [str(pair) for pair in self._site.two_owners])
-        self.blame_all("no answer in a calm time", self._lost_in_calm(ran))
+        self.report_all("ran twice", [item for item in sorted(self._unsafe) if ran[item] > 1])
+        self.report_all("refused and yet run", [item for item in self._refused if ran[item]])
+        self.report_all("two owners", [str(pair) for pair in self._site.two_owners])
+        self.report_all("no answer in a calm time", self._lost_in_calm(ran))
         most = self._site.most_while_cold()
-        if most > MOST_WHILE_COLD:
-            self._blame(f"{most} requests in a second at a cold back end")
+        if most > MAX_REQUESTS_WHILE_COLD:
+            self._report(f"{most} requests in a second at a cold back end")
         excesses = limit_judging.excesses(self._site.upstreams, self._senders, self._site.held_up)
-        self.blame_all("above its limit", excesses)
+        self.report_all("above its limit", excesses)
         upstreams, held_up = self._site.upstreams, self._site.held_up
         late = statement_judging.requests_after_leaving(upstreams, self._sent, held_up)
-        self.blame_all("after its leaving announcement", late)
+        self.report_all("after its leaving announcement", late)
         during_backoff = statement_judging.requests_during_backoff(upstreams, self._sent, held_up)
-        self.blame_all("during back-off", during_backoff)
+        self.report_all("during back-off", during_backoff)
         if not self._site.everything_is_held():
-            self._blame("a key has no owner after healing")
+            self._report("a key has no owner after healing")
 
     def _lost_in_calm(self, ran: collections.Counter[str]) -> list[str]:
         return [
-            f"{request} ({reply.ending.value} after {reply.ended - reply.began:.3f} s)"
-            for request, reply in self._lost
-            if ran[request] or reply.ended - reply.began > CROSSING
+            f"{request} ({outcome.ending.value} after {outcome.ended - outcome.began:.3f} s)"
+            for request, outcome in self._lost
+            if ran[request] or outcome.ended - outcome.began > CLOSE_RACE_TIME
         ]
 
-    def blame_all(self, what: str, items: list[str]) -> None:
-        """Hold several cases of one kind against the nodes."""
-        for item in items[:MOST_TOLD]:
-            self._blame(f"{what}: {item}")
+    def report_all(self, what: str, items: list[str]) -> None:
+        """Report violations of one kind, `MAX_REPORTED` at most."""
+        for item in items[:MAX_REPORTED]:
+            self._report(f"{what}: {item}")
 
-    def _blame(self, text: str) -> None:
+    def _report(self, text: str) -> None:
         self._result.violations.append(text)
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy whose connections can be delayed, reset, cut one way, silenced or deaf."""
+"""A loopback TCP proxy that can delay, drop, reset or silence its connections."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 
 from limedeck_lab.standins import silent_socket
 
-CHUNK = 65_536
+CHUNK_SIZE = 65_536
+"""Bytes."""
 DELAY = 0.4
+"""Seconds."""
 
 
 class Mode(enum.Enum):
-    """What happens to bytes."""
+    """How the proxy treats the bytes that it receives."""
 
     PASS = "pass"
     DELAY = "delay"
-    CUT_REPLIES = "cut-replies"
+    DROP_RESPONSES = "cut-replies"
     SILENT = "silent"
 
 
 @dataclasses.dataclass
 class FaultyProxy:
-    """Passes connections to one address on to another.
+    """Forwards connections from one address to another.
 
     Parameters
     ----------
@@ -37,46 +39,46 @@
     target: str
     mode: Mode = Mode.PASS
     _streams: set[anyio.abc.SocketStream] = dataclasses.field(default_factory=set)
-    _down: float = 0.0
+    _restart_delay: float = 0.0
     _listener: anyio.abc.Listener[anyio.abc.SocketStream] | None = None
 
     async def serve(self, ended: anyio.Event) -> None:
         """Listen until the event is set."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._serve_lives)
+            tasks.start_soon(self._serve_and_restart)
             await ended.wait()
             tasks.cancel_scope.cancel()
 
     async def crash(self, seconds: float) -> None:
-        """Refuse connections for so long, and end those that are open: the process has ended."""
-        self._down = seconds
+        """Close all connections and refuse new ones for a while, as if the process had exited."""
+        self._restart_delay = seconds
         if self._listener is not None:
             await self._listener.aclose()
 
-    async def _serve_lives(self) -> None:
+    async def _serve_and_restart(self) -> None:
         host, _, port = self.address.rpartition(":")
         while True:
             listener = await anyio.create_tcp_listener(local_host=host, local_port=int(port))
             self._listener = listener
             async with listener:
                 try:
-                    await listener.serve(self._serve_one)
+                    await listener.serve(self._forward_connection)
                 except* anyio.ClosedResourceError:
-                    # A crash: what was served is cancelled, after the port was closed.
+                    # crash() closed the listener; its open connections are cancelled after that.
                     pass
-            await anyio.sleep(self._down)
+            await anyio.sleep(self._restart_delay)
 
     async def reset_all(self) -> None:
-        """Drop all connections at once."""
+        """Close all connections forcefully."""
         for stream in list(self._streams):
             await anyio.aclose_forcefully(stream)
 
     async def silence_all(self) -> None:
-        """Let all open connections go silent, without an end; new ones work."""
+        """Drop everything that arrives on open connections, without closing them; new ones work."""
         for stream in list(self._streams):
             silent_socket.make_deaf(stream.extra(anyio.abc.SocketAttribute.raw_socket))
 
-    async def _serve_one(self, caller: anyio.abc.SocketStream) -> None:
+    async def _forward_connection(self, caller: anyio.abc.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
             target = await anyio.connect_tcp(host, int(port))
@@ -98,15 +100,15 @@
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        is_reply: bool,
+        is_response: bool,
         scope: anyio.CancelScope,
     ) -> None:
         try:
             while True:
-                data = await source.receive(CHUNK)
+                data = await source.receive(CHUNK_SIZE)
                 if self.mode is Mode.DELAY:
                     await anyio.sleep(DELAY)
-                if self.mode is Mode.SILENT or (is_reply and self.mode is Mode.CUT_REPLIES):
+                if self.mode is Mode.SILENT or (is_response and self.mode is Mode.DROP_RESPONSES):
                     continue
                 await sink.send(data)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
--- a/tests/soak/series.py
+++ b/tests/soak/series.py
@@ -1,4 +1,4 @@
-"""What happens during a soak: series of one kind of step each, which overlap."""
+"""The schedule of a soak: overlapping series, each of steps of one kind."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 import enum
 import random
 
-STEPS = (2, 6)
+STEPS_PER_SERIES = (2, 6)
 GAP_SECONDS = (0.2, 1.2)
-OVERLAP = (0.1, 0.7)
-"""Part of a series after which the next one begins."""
+NEXT_START_FRACTION = (0.1, 0.7)
+"""Fraction of a series' minimum duration after which the next series begins."""
 
 
 class Kind(enum.Enum):
@@ -21,45 +21,50 @@
     DRAIN = "drain"
     KILL = "kill"
     PAUSE = "pause"
-    SPOIL = "spoil"
+    DEGRADE_CONNECTIONS = "spoil"
     RESET = "reset"
     SILENCE = "silence"
     STORE_FAULTS = "store-faults"
-    FORGET = "forget"
+    DROP_STORE_HISTORY = "forget"
     CRASH = "crash"
     SUSPEND = "suspend"
     EVACUATE = "evacuate"
-    REBORN = "reborn"
-    STRANGE = "strange"
+    RESTART_BACKEND = "reborn"
+    FOREIGN_ENTRIES = "strange"
     LIMIT = "limit"
     LEAVE = "leave"
-    REST = "rest"
+    BACKOFF = "rest"
 
 
-OF_FOURTH_SEEDS = tuple(kind for kind in Kind if kind not in (Kind.LEAVE, Kind.REST))
-"""Kinds for seeds recorded before `LEAVE` and `REST` were added: 420001 and later."""
-OF_THIRD_SEEDS = tuple(kind for kind in OF_FOURTH_SEEDS if kind is not Kind.LIMIT)
-"""What seeds draw from that were recorded before back ends named limits: 380001 and later ones."""
-OF_SECOND_SEEDS = tuple(
-    kind for kind in OF_THIRD_SEEDS if kind not in (Kind.EVACUATE, Kind.REBORN, Kind.STRANGE)
+KINDS_V4 = tuple(kind for kind in Kind if kind not in (Kind.LEAVE, Kind.BACKOFF))
+"""Kinds for seeds recorded before `LEAVE` and `BACKOFF` were added: 420001 and later."""
+KINDS_V3 = tuple(kind for kind in KINDS_V4 if kind is not Kind.LIMIT)
+"""Kinds for seeds recorded before `LIMIT` was added: 380001 and later."""
+KINDS_V2 = tuple(
+    kind
+    for kind in KINDS_V3
+    if kind not in (Kind.EVACUATE, Kind.RESTART_BACKEND, Kind.FOREIGN_ENTRIES)
 )
-"""What seeds draw from that were recorded before zones were evacuated: 320201 and later ones."""
-OF_FIRST_SEEDS = tuple(kind for kind in OF_SECOND_SEEDS if kind not in (Kind.CRASH, Kind.SUSPEND))
-"""What seeds draw from that were recorded before requests ended back ends and machines slept."""
+"""Kinds for seeds recorded before `EVACUATE`, `RESTART_BACKEND` and `FOREIGN_ENTRIES` were added.
+
+These are 320201 and later.
+"""
+KINDS_V1 = tuple(kind for kind in KINDS_V2 if kind not in (Kind.CRASH, Kind.SUSPEND))
+"""Kinds for seeds recorded before `CRASH` and `SUSPEND` were added."""
 PLANNED = (Kind.STOP, Kind.HANG_UP, Kind.CONFIGURE, Kind.DRAIN)
-"""What operators do; no request may be lost by it."""
+"""Operations of an operator, which must not lose any request."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Series:
-    """Steps of one kind, one after the other.
+    """Consecutive steps of one kind.
 
     Parameters
     ----------
     start
-        Seconds from the begin of the soak.
+        Seconds from the beginning of the soak.
     gap
-        Seconds between the end of one step and the begin of the next.
+        Seconds between the end of one step and the beginning of the next.
     """
 
     kind: Kind
@@ -69,21 +74,25 @@
     seed: int
 
     @property
-    def shortest(self) -> float:
-        """Seconds that it takes at least."""
+    def min_duration(self) -> float:
+        """Minimum duration in seconds: the sum of its gaps."""
         return self.steps * self.gap
 
 
 def plan(seed: int, seconds: float, kinds: tuple[Kind, ...]) -> list[Series]:
-    """Draw series that begin within so many seconds, each before the one before it is over."""
+    """Draw series that begin within a duration; each begins before the previous one has ended."""
     source = random.Random(seed)
     planned: list[Series] = []
     start = 0.0
     while start < seconds:
         gap = source.uniform(*GAP_SECONDS)
         drawn = Series(
-            source.choice(kinds), start, source.randint(*STEPS), gap, source.getrandbits(32)
+            source.choice(kinds),
+            start,
+            source.randint(*STEPS_PER_SERIES),
+            gap,
+            source.getrandbits(32),
         )
         planned.append(drawn)
-        start += drawn.shortest * source.uniform(*OVERLAP)
+        start += drawn.min_duration * source.uniform(*NEXT_START_FRACTION)
     return planned
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,7 +1,7 @@
-"""A fault soak: real nodes as processes, series of faults that overlap, promises checked meanwhile.
+"""A fault soak: node processes under overlapping series of faults, with guarantees checked.
 
 ``python -m tests.soak.soak --seed 1 --seconds 60`` prints one line of JSON; exit code 1 if a
-promise was broken. All processes are ended by their ids.
+guarantee was violated. Ends the processes that it started by their process ids.
 """
 
 from __future__ import annotations
@@ -30,21 +30,20 @@
     from collections.abc import Iterator
 
 NODES = 5
-KEYED = 4
-PLAIN = 2
+KEYED_BACKENDS = 4
+PLAIN_BACKENDS = 2
 CALLERS = 4
-MOST_KEPT = 8
-"""Connections that one caller keeps open at the same time."""
-KEPT_SHARE = 0.7
-"""Part of its requests that a caller sends on a connection that it has open."""
-HEALING = 12.0
-"""Seconds after the last fault until every request must be served."""
-START_PATIENCE = 120.0
-"""Seconds for all nodes to start, with as many as the machine bears."""
+MAX_CONNECTIONS_PER_CALLER = 8
+REUSE_FRACTION = 0.7
+"""Fraction of its requests that a caller sends on a connection that is already open."""
+HEALING_TIME = 12.0
+"""Seconds from the end of the faults until every request must be served."""
+START_TIMEOUT = 120.0
+"""Seconds for all nodes to start, also with as many as the machine can run."""
 
 
 class Caller:
-    """Sends requests until told to stop, and tells the judge what came of them."""
+    """Sends requests until it is stopped, and reports their outcomes to the judge."""
 
     def __init__(self, seed: int, number: int, site: judging.JudgedSite, judge: judging.Judge):
         self._random = random.Random(seed * 1000 + number)
@@ -52,20 +51,20 @@
         self._sent = 0
         self._site = site
         self._judge = judge
-        self._kept: list[callers.KeptConnection] = []
+        self._connections: list[callers.PersistentConnection] = []
 
     def run(self, stopping: threading.Event) -> None:
-        """Go on until the event is set."""
+        """Send requests until the event is set."""
         while not stopping.wait(self._random.uniform(0.0, 0.03)):
             self._send_one()
-        for connection in self._kept:
+        for connection in self._connections:
             connection.close()
 
     def _send_one(self) -> None:
         self._sent += 1
         request = f"{self._prefix}{self._sent:012x}"
-        connection = self._connection()
-        path, version = self._path()
+        connection = self._choose_connection()
+        path, version = self._choose_path()
         self._judge.record_sent(request, connection.address, is_unsafe=path.startswith("/plain/"))
         headers = {
             "host": "h.example",
@@ -73,36 +72,36 @@
             "x-deadline-ms": "2000",
             "x-shard-key": str(self._random.randrange(platform_site.KEYS)),
         }
-        reply = connection.exchange(path, headers)
-        self._judge.note_reply(request, connection.address, reply, version)
-        if reply.ending is not callers.Ending.ANSWERED:
-            self._kept.remove(connection)
+        outcome = connection.exchange(path, headers)
+        self._judge.record_outcome(request, connection.address, outcome, version)
+        if outcome.ending is not callers.Ending.RESPONDED:
+            self._connections.remove(connection)
 
-    def _path(self) -> tuple[str, judging.Version | None]:
+    def _choose_path(self) -> tuple[str, judging.Version | None]:
         version = self._random.choice([None, None, *self._judge.versions()])
         if version is not None:
             return f"{version.prefix}x", version
         return self._random.choice(["/keyed/x", "/plain/x"]), None
 
-    def _connection(self) -> callers.KeptConnection:
-        """One that is open, also if its node stops or was replaced, or a new one to any node."""
-        is_kept = self._kept and self._random.random() < KEPT_SHARE
-        if is_kept or len(self._kept) >= MOST_KEPT:
-            return self._random.choice(self._kept)
-        opened = callers.KeptConnection(self._random.choice(self._site.nodes).callers)
-        self._kept.append(opened)
+    def _choose_connection(self) -> callers.PersistentConnection:
+        """Choose an open connection, even to a stopping or replaced node, or add a new one."""
+        is_reused = self._connections and self._random.random() < REUSE_FRACTION
+        if is_reused or len(self._connections) >= MAX_CONNECTIONS_PER_CALLER:
+            return self._random.choice(self._connections)
+        opened = callers.PersistentConnection(self._random.choice(self._site.nodes).callers)
+        self._connections.append(opened)
         return opened
 
 
 class Soak:
-    """One run.
+    """One run of the fault soak.
 
     Parameters
     ----------
     folder
-        For settings and logs of the nodes.
+        Folder for the settings and logs of the nodes.
     kinds
-        Of the steps that may happen.
+        Kinds of steps to draw from.
     """
 
     def __init__(
@@ -120,24 +119,27 @@
         self._group = processes.ProcessGroup(folder)
         self._nodes = faults.Nodes(self.site, self._start)
         self._proxies: list[proxy.FaultyProxy] = []
-        self._stores: list[str] = []
-        self._lives = [0] * nodes
+        self._store_addresses: list[str] = []
+        self._incarnations = [0] * nodes
         self._suspendable = self._suspendable_nodes() if series.Kind.SUSPEND in kinds else {}
-        # As on the platform, a machine's next life is where the last one was. If it is elsewhere,
-        # a former leader's next life cannot say that the former one is over, and the keys of an
-        # owner that crashed wait 22 s for what it might have renewed.
+        # A restarted node keeps its ports, as on the platform. With other ports, a former leader's
+        # next incarnation could not report that the former one has ended, and the keys of a crashed
+        # owner would wait 22 s for leases that the former leader might have renewed.
         keeps_ports = series.Kind.CRASH in kinds
         self._ports = {i: processes.free_ports(3) for i in range(nodes) if keeps_ports}
 
     def run(self, seconds: float) -> judging.Result:
-        """Start everything, run series of faults for so long, heal, and judge."""
-        with anyio.from_thread.start_blocking_portal() as portal, self._served(portal) as steps:
+        """Start all processes, run series of faults for a duration, end the faults, and judge."""
+        with (
+            anyio.from_thread.start_blocking_portal() as portal,
+            self._serving_site(portal) as steps,
+        ):
             self._nodes.start_all(self.result.nodes)
-            processes.wait_until(self._all_ready, "nodes are ready", START_PATIENCE)
-            with self._calling():
+            processes.wait_until(self._all_ready, "nodes are ready", START_TIMEOUT)
+            with self._running_callers():
                 self._run_series(steps, seconds)
                 steps.heal()
-                time.sleep(HEALING)
+                time.sleep(HEALING_TIME)
             self._judge_service()
             self.judge.judge_end()
         return self.result
@@ -145,7 +147,9 @@
     def _run_series(self, steps: faults.Faults, seconds: float) -> None:
         ended = threading.Event()
         planned = series.plan(self.result.seed, seconds, self._kinds)
-        threads = [threading.Thread(target=self._run_one, args=(steps, s, ended)) for s in planned]
+        threads = [
+            threading.Thread(target=self._run_one_series, args=(steps, s, ended)) for s in planned
+        ]
         for thread in threads:
             thread.start()
         time.sleep(seconds)
@@ -153,14 +157,16 @@
         for thread in threads:
             thread.join()
 
-    def _run_one(self, steps: faults.Faults, drawn: series.Series, ended: threading.Event) -> None:
+    def _run_one_series(
+        self, steps: faults.Faults, drawn: series.Series, ended: threading.Event
+    ) -> None:
         if ended.wait(drawn.start):
             return
         done = steps.run(drawn, ended)
         self.result.steps[drawn.kind.value] += done
 
     @contextlib.contextmanager
-    def _calling(self) -> Iterator[None]:
+    def _running_callers(self) -> Iterator[None]:
         stopping = threading.Event()
         each = [Caller(self.result.seed, i, self.site, self.judge) for i in range(CALLERS)]
         threads = [threading.Thread(target=caller.run, args=(stopping,)) for caller in each]
@@ -174,33 +180,33 @@
                 thread.join()
 
     @contextlib.contextmanager
-    def _served(self, portal: anyio.from_thread.BlockingPortal) -> Iterator[faults.Faults]:
-        """Serve the store and the back ends, each behind a proxy."""
-        ports = processes.free_ports(2 * (KEYED + PLAIN) + 1 + self.result.nodes)
+    def _serving_site(self, portal: anyio.from_thread.BlockingPortal) -> Iterator[faults.Faults]:
+        """Serve the store and the back ends behind proxies."""
+        ports = processes.free_ports(2 * (KEYED_BACKENDS + PLAIN_BACKENDS) + 1 + self.result.nodes)
         addresses = [f"127.0.0.1:{port}" for port in ports]
         store = addresses.pop()
         served: list[tuple[platform_site.Application, str]] = [
             (self.site.store.application(), store)
         ]
-        for number in range(KEYED + PLAIN):
-            service = "keyed" if number < KEYED else "plain"
-            real, shown = addresses.pop(), addresses.pop()
-            shield = proxy.FaultyProxy(shown, real)
+        for number in range(KEYED_BACKENDS + PLAIN_BACKENDS):
+            service = "keyed" if number < KEYED_BACKENDS else "plain"
+            real, proxy_address = addresses.pop(), addresses.pop()
+            upstream_proxy = proxy.FaultyProxy(proxy_address, real)
             upstream = platform_site.Upstream(
-                f"i-{number}", service, service == "keyed", shown, self.site, shield
+                f"i-{number}", service, service == "keyed", proxy_address, self.site, upstream_proxy
             )
             if series.Kind.EVACUATE in self._kinds and number % 2:
                 upstream.zone = faults.EVACUATED_ZONE
-            if series.Kind.REBORN in self._kinds:
+            if series.Kind.RESTART_BACKEND in self._kinds:
                 self.site.cold_rate = faults.COLD_RATE
             self.site.upstreams.append(upstream)
             self.site.list_upstream(upstream)
-            self._proxies.append(shield)
+            self._proxies.append(upstream_proxy)
             served.append((upstream, real))
         for _ in range(self.result.nodes):
-            shown = addresses.pop()
-            self._stores.append(shown)
-            self._proxies.append(proxy.FaultyProxy(shown, store))
+            proxy_address = addresses.pop()
+            self._store_addresses.append(proxy_address)
+            self._proxies.append(proxy.FaultyProxy(proxy_address, store))
         steps = faults.Faults(
             self.site, self.judge, self._nodes, self._proxies, portal, self._suspendable
         )
@@ -217,19 +223,19 @@
                 task.result(timeout=20.0)
 
     def _start(self, number: int) -> platform_site.NodeProcess:
-        life = self._lives[number]
-        self._lives[number] += 1
-        store = self._stores[number]
+        incarnation = self._incarnations[number]
+        self._incarnations[number] += 1
+        store = self._store_addresses[number]
         suspended = self._suspendable.get(number)
         ports = self._ports.get(number)
         node = platform_site.start_node(
-            self._group, self._folder, store, number, life, suspended, ports
+            self._group, self._folder, store, number, incarnation, suspended, ports
         )
-        self.judge.note_started(node.callers)
+        self.judge.record_node_start(node.callers)
         return node
 
     def _suspendable_nodes(self) -> dict[int, suspendable_node.SuspendedTime]:
-        """Every second node; the others run on the event loop that the product uses."""
+        """Return every second node; the others run on the event loop that the product uses."""
         found = {}
         for number in range(0, self.result.nodes, 2):
             found[number] = suspendable_node.SuspendedTime(self._folder / f"suspended-{number}")
@@ -240,9 +246,9 @@
         return all(node.is_ready() for node in self.site.nodes)
 
     def _judge_service(self) -> None:
-        """Every node is ready, and serves."""
+        """Check that every node is ready and serves requests."""
         not_ready = [node.callers for node in self.site.nodes if not node.is_ready()]
-        self.judge.blame_all("not ready after healing", not_ready)
+        self.judge.report_all("not ready after healing", not_ready)
         failed = []
         with httpx.Client(timeout=4.0, trust_env=False) as client:
             for number in range(max(60, self.result.nodes)):
@@ -251,12 +257,12 @@
                 key = number * 997 % platform_site.KEYS
                 status = self.site.send(client, node, path, key).status_code
                 if status != 200:
-                    reason = self.reason(f"{self.site.sent:016x}")
+                    reason = self.describe_end(f"{self.site.sent:016x}")
                     failed.append(f"status {status} for {path}, key {key}: {reason}")
-        self.judge.blame_all("not served after healing", failed)
+        self.judge.report_all("not served after healing", failed)
 
-    def reason(self, request: str) -> str:
-        """How a request ended, by the nodes' logs: after a run in CI they are gone."""
+    def describe_end(self, request: str) -> str:
+        """Describe how a request ended, from the nodes' logs, which CI does not keep."""
         try:
             story = stories.story_of_request(log_lines.read_logs([self._folder]), request)
         except (stories.NothingFound, log_lines.UnreadableLogs) as error:
@@ -264,13 +270,13 @@
         return story[-1].text
 
 
-def _end_with_all_processes(number: int, _: object) -> None:
-    """Leave by an exception, so that the nodes are ended too."""
+def _exit_on_signal(number: int, _: object) -> None:
+    """Exit by an exception, so that the nodes are ended too."""
     raise SystemExit(128 + number)
 
 
-def kinds_of(text: str) -> tuple[series.Kind, ...]:
-    """Read kinds in the order given: a seed draws from them in that order."""
+def parse_kinds(text: str) -> tuple[series.Kind, ...]:
+    """Parse kinds, keeping the order, which determines what a seed draws."""
     return tuple(series.Kind(name) for name in text.split(","))
 
 
@@ -279,13 +285,17 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=60.0)
-    parser.add_argument("--nodes", type=int, default=NODES, help="processes")
-    parser.add_argument("--planned", action="store_true", help="only what operators do")
-    parser.add_argument("--kinds", type=kinds_of, help="only these kinds of steps, with commas")
-    parser.add_argument("--logs", type=pathlib.Path, help="folder that keeps the nodes' logs")
+    parser.add_argument("--nodes", type=int, default=NODES, help="number of node processes")
+    parser.add_argument("--planned", action="store_true", help="only operations of an operator")
+    parser.add_argument(
+        "--kinds", type=parse_kinds, help="only these kinds of steps, separated by commas"
+    )
+    parser.add_argument(
+        "--logs", type=pathlib.Path, help="folder in which the nodes' logs are kept"
+    )
     options: Any = parser.parse_args(arguments)
     for number in (signal.SIGTERM, signal.SIGHUP):
-        signal.signal(number, _end_with_all_processes)
+        signal.signal(number, _exit_on_signal)
     kinds = options.kinds or (series.PLANNED if options.planned else tuple(series.Kind))
     with contextlib.ExitStack() as stack:
         folder = options.logs
--- a/tests/soak/statement_judging.py
+++ b/tests/soak/statement_judging.py
@@ -1,4 +1,4 @@
-"""Checks that nodes comply with the statements in back ends' answers that they forwarded.
+"""Checks that nodes comply with the statements in back ends' responses that they forwarded.
 
 Once a node has forwarded a leaving announcement, requests that callers send to that node more than
 `LEAVING_GRACE` later must not reach the back end. During a back-off period, a back end may receive
@@ -16,7 +16,7 @@
 LEAVING_GRACE = 2.0
 """Seconds after a node forwards a leaving announcement in which it may still send requests."""
 BACKOFF_GRACE = 0.5
-"""Seconds after the answer that requests back-off in which requests are not counted."""
+"""Seconds after the response that requests back-off in which requests are not counted."""
 MAX_REQUESTS_IN_BACKOFF = 2
 Span = tuple[float, float]
 
@@ -28,7 +28,7 @@
     Parameters
     ----------
     node
-        Identifies the node, and its life if nodes restart.
+        Identifies the node, and its incarnation if nodes restart.
     at
         On the test's clock, in seconds.
     """
@@ -54,9 +54,9 @@
     found = []
     for upstream in upstreams:
         announced_at: dict[tuple[str, int], float] = {}
-        for answer in upstream.leaving_answers:
-            if answer.request in sent:
-                announced_at.setdefault((sent[answer.request].node, answer.life), answer.at)
+        for response in upstream.leaving_answers:
+            if response.request in sent:
+                announced_at.setdefault((sent[response.request].node, response.life), response.at)
         for arrival in upstream.arrivals_after_statement:
             request = sent.get(arrival.request)
             since = announced_at.get((request.node, arrival.life)) if request is not None else None
@@ -75,7 +75,7 @@
     sent: Mapping[str, SentRequest],
     held_up: Sequence[Span] = (),
 ) -> list[str]:
-    """Return back-off periods in which the asked node sent too many requests."""
+    """Return back-off periods in which the node that was rejected sent too many requests."""
     found = []
     for upstream in upstreams:
         arrivals: dict[tuple[str, int], list[float]] = {}
@@ -84,13 +84,13 @@
                 key = (sent[arrival.request].node, arrival.life)
                 arrivals.setdefault(key, []).append(arrival.at)
         for backoff in upstream.backoff_requests:
-            asked = backoff.arrival
-            if asked.request not in sent:
+            rejected = backoff.arrival
+            if rejected.request not in sent:
                 continue
-            begin, end = asked.at + BACKOFF_GRACE, asked.at + backoff.seconds
-            times = arrivals.get((sent[asked.request].node, asked.life), [])
+            begin, end = rejected.at + BACKOFF_GRACE, rejected.at + backoff.seconds
+            times = arrivals.get((sent[rejected.request].node, rejected.life), [])
             count = sum(begin <= at < end for at in times)
-            if count > MAX_REQUESTS_IN_BACKOFF and not _is_held_up(asked.at, end, held_up):
+            if count > MAX_REQUESTS_IN_BACKOFF and not _is_held_up(rejected.at, end, held_up):
                 found.append(
                     f"{upstream.name} received {count} in {backoff.seconds:g} s of back-off"
                 )
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""Short, seeded runs of the fault soak; long ones are started by hand (docs/DEVELOPERS.md)."""
+"""Short runs of the fault soak with fixed seeds; long runs are manual (docs/DEVELOPERS.md)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 LEAVING_AND_BACKOFF = (
     series.Kind.LEAVE,
-    series.Kind.REST,
+    series.Kind.BACKOFF,
     series.Kind.KILL,
     series.Kind.STOP,
     series.Kind.LIMIT,
@@ -21,13 +21,21 @@
     ("seed", "seconds", "kinds"),
     [
         (1, 12.0, series.PLANNED),
-        # A node that was still starting was told of changed settings, and was gone.
-        (290008, 20.0, series.OF_FIRST_SEEDS),
+        # SIGHUP reached a node that was still loading modules, and ended it.
+        (290008, 20.0, series.KINDS_V1),
         (320001, 20.0, (series.Kind.CRASH, series.Kind.SUSPEND)),
-        (380001, 20.0, (series.Kind.EVACUATE, series.Kind.REBORN, series.Kind.STRANGE)),
-        (410001, 20.0, (series.Kind.LIMIT, series.Kind.KILL, series.Kind.STOP, series.Kind.REBORN)),
-        # The store refused all nodes while back ends came back cold: nobody heard of it.
-        (420021, 20.0, series.OF_FOURTH_SEEDS),
+        (
+            380001,
+            20.0,
+            (series.Kind.EVACUATE, series.Kind.RESTART_BACKEND, series.Kind.FOREIGN_ENTRIES),
+        ),
+        (
+            410001,
+            20.0,
+            (series.Kind.LIMIT, series.Kind.KILL, series.Kind.STOP, series.Kind.RESTART_BACKEND),
+        ),
+        # The store refused all nodes while back ends restarted cold, so that no node knew of it.
+        (420021, 20.0, series.KINDS_V4),
         (460001, 20.0, LEAVING_AND_BACKOFF),
     ],
     ids=[
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests names tests that are there."""
+"""Parsing of KNOWN-RED.txt, and that it lists only tests that exist."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests import known_red
 
 
-def test_lines_are_read() -> None:
-    found = known_red.read("a::b | it is slow | issue 1\n\nc::d | x | issue 2\n")
+def test_lines_are_parsed() -> None:
+    found = known_red.parse("a::b | it is slow | issue 1\n\nc::d | x | issue 2\n")
     assert found["a::b"] == known_red.KnownRed("a::b", "it is slow", "issue 1")
     assert list(found) == ["a::b", "c::d"]
 
@@ -16,14 +16,14 @@
 @pytest.mark.parametrize(
     "text", ["a::b", "a::b | x", "a::b | | issue 1", "a|b|c|d", "a|b|c\na|b|c"]
 )
-def test_a_line_that_says_less_is_refused(text: str) -> None:
+def test_malformed_line_or_duplicate_is_rejected(text: str) -> None:
     with pytest.raises(known_red.BadLine):
-        known_red.read(text)
+        known_red.parse(text)
 
 
 def test_every_listed_test_exists(request: pytest.FixtureRequest) -> None:
-    """A line outlives its test or its file's name otherwise."""
-    for name in known_red.listed():
+    """Guards against lines that remain after their test or its file was renamed or removed."""
+    for name in known_red.load():
         file, _, function = name.partition("::")
         text = (request.config.rootpath / file).read_text()
         assert f"def {function.partition('[')[0]}(" in text
--- a/tests/unit/test_soak_parts.py
+++ b/tests/unit/test_soak_parts.py
@@ -1,4 +1,4 @@
-"""The fault soak's own parts: its proxy, and a judge that sees what is broken."""
+"""The parts of the fault soak: proxy, schedule, faults, and the judge's checks."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
     [
         (proxy.Mode.PASS, True),
         (proxy.Mode.DELAY, True),
-        (proxy.Mode.CUT_REPLIES, False),
+        (proxy.Mode.DROP_RESPONSES, False),
         (proxy.Mode.SILENT, False),
     ],
 )
-async def test_a_proxy_does_what_its_mode_says(mode: proxy.Mode, answered: bool) -> None:
+async def test_proxy_treats_bytes_as_its_mode_says(mode: proxy.Mode, answered: bool) -> None:
     ports = processes.free_ports(2)
-    target, shown = (f"127.0.0.1:{port}" for port in ports)
-    item = proxy.FaultyProxy(shown, target, mode)
+    target, proxy_address = (f"127.0.0.1:{port}" for port in ports)
+    item = proxy.FaultyProxy(proxy_address, target, mode)
     ended = anyio.Event()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=ports[0])
@@ -63,10 +63,10 @@
         await anyio.sleep(0.1)
         async with await anyio.connect_tcp("127.0.0.1", ports[1]) as stream:
             await stream.send(b"x")
-            got = b""
+            received = b""
             with anyio.move_on_after(3.0 if answered else 0.8):
-                got = await stream.receive()
-            assert got == (b"x" if answered else b"")
+                received = await stream.receive()
+            assert received == (b"x" if answered else b"")
             await item.reset_all()
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await stream.receive()
@@ -74,10 +74,10 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_connections_that_are_open_go_silent_and_new_ones_work() -> None:
+async def test_silence_all_affects_open_connections_only() -> None:
     ports = processes.free_ports(2)
-    target, shown = (f"127.0.0.1:{port}" for port in ports)
-    item = proxy.FaultyProxy(shown, target)
+    target, proxy_address = (f"127.0.0.1:{port}" for port in ports)
+    item = proxy.FaultyProxy(proxy_address, target)
     ended = anyio.Event()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=ports[0])
@@ -104,7 +104,7 @@
     return judging.Judge(result, site), result, site
 
 
-def planted(site: judging.JudgedSite) -> list[tuple[str, str]]:
+def two_owners_of(site: judging.JudgedSite) -> list[tuple[str, str]]:
     for name in ("i-1", "i-2"):
         upstream = platform_site.Upstream(name, "keyed", True, "127.0.0.1:1", site)
         upstream.held = {(0, 9): (1, 1e12)}
@@ -113,51 +113,51 @@
     return site.two_owners
 
 
-def test_the_judge_sees_two_owners() -> None:
-    assert planted(judging.JudgedSite()) == [("i-1", "i-2")]
+def test_two_owners_of_a_key_are_detected() -> None:
+    assert two_owners_of(judging.JudgedSite()) == [("i-1", "i-2")]
 
 
-def test_orders_that_a_fault_held_up_are_excused() -> None:
+def test_ownership_is_not_judged_while_faults_delay_orders() -> None:
     site = judging.JudgedSite()
-    site.excuse(60.0)
-    assert planted(site) == []
+    site.record_held_up(60.0)
+    assert two_owners_of(site) == []
 
 
-def reply(
-    ending: callers.Ending = callers.Ending.ANSWERED,
+def outcome(
+    ending: callers.Ending = callers.Ending.RESPONDED,
     status: int = 0,
     took: float = 0.1,
     at: float = 0.0,
-) -> callers.Reply:
+) -> callers.Outcome:
     now = time.monotonic() + at
-    return callers.Reply(ending, now, now + took, status, "r", b"r:")
+    return callers.Outcome(ending, now, now + took, status, "r", b"r:")
 
 
-def test_the_end_is_judged() -> None:
+def test_duplicate_runs_and_runs_of_refused_requests_are_reported_at_the_end() -> None:
     judged, result, site = judge()
     for request in ("a", "b"):
         judged.record_sent(request, "node", is_unsafe=True)
-    judged.note_reply("c", "n", reply(status=503), None)
+    judged.record_outcome("c", "n", outcome(status=503), None)
     site.runs += [("a", "i-1"), ("a", "i-2"), ("b", "i-1"), ("c", "i-1")]
     judged.judge_end()
     assert result.violations[:2] == ["ran twice: a", "refused and yet run: c"]
 
 
-def test_an_answer_of_another_request_is_seen() -> None:
+def test_response_to_another_request_is_reported() -> None:
     judged, result, _ = judge()
-    judged.note_reply("r", "n", reply(status=200), None)
-    judged.note_reply("s", "n", reply(status=200), None)
+    judged.record_outcome("r", "n", outcome(status=200), None)
+    judged.record_outcome("s", "n", outcome(status=200), None)
     assert result.violations == ["answer of another request: s"]
 
 
-def test_a_request_without_an_answer_counts_in_a_calm_time_only() -> None:
+def test_lost_request_is_reported_only_without_an_unplanned_fault() -> None:
     judged, result, site = judge()
     closed = callers.Ending.CLOSED
-    judged.note_reply("crossed", "n", reply(closed, took=0.01), None)
-    judged.note_reply("run", "n", reply(closed, took=0.01), None)
-    judged.note_reply("slow", "n", reply(closed, took=0.5), None)
-    judged.note_unplanned()
-    judged.note_reply("excused", "n", reply(closed, took=0.5), None)
+    judged.record_outcome("crossed", "n", outcome(closed, took=0.01), None)
+    judged.record_outcome("run", "n", outcome(closed, took=0.01), None)
+    judged.record_outcome("slow", "n", outcome(closed, took=0.5), None)
+    judged.record_unplanned_fault()
+    judged.record_outcome("excused", "n", outcome(closed, took=0.5), None)
     site.runs.append(("run", "i-1"))
     judged.judge_end()
     lost = [item for item in result.violations if item.startswith("no answer")]
@@ -166,20 +166,20 @@
     assert "slow (closed" in lost[1]
 
 
-def test_configurations_that_are_late_or_come_back_older_are_seen() -> None:
+def test_late_and_older_configurations_are_reported() -> None:
     judged, result, _ = judge()
-    judged.note_version(1)
-    judged.note_version(2)
+    judged.record_version(1)
+    judged.record_version(2)
     old, new = judged.versions()
-    judged.note_reply("r", "n", reply(status=404), new)
-    judged.note_reply("r", "n", reply(status=200), old)
+    judged.record_outcome("r", "n", outcome(status=404), new)
+    judged.record_outcome("r", "n", outcome(status=200), old)
     assert result.violations == []
-    judged.note_reply("r", "n", reply(status=404, at=10.0), new)
-    judged.note_reply("r", "m", reply(status=200, at=10.0), old)
-    judged.note_reply("r", "n", reply(status=200), new)
-    # It was sent before the newer one was seen in force.
-    judged.note_reply("r", "n", reply(status=200), old)
-    judged.note_reply("r", "n", reply(status=200, at=1.0), old)
+    judged.record_outcome("r", "n", outcome(status=404, at=10.0), new)
+    judged.record_outcome("r", "m", outcome(status=200, at=10.0), old)
+    judged.record_outcome("r", "n", outcome(status=200), new)
+    # This request was sent before the newer configuration was observed in force.
+    judged.record_outcome("r", "n", outcome(status=200), old)
+    judged.record_outcome("r", "n", outcome(status=200, at=1.0), old)
     assert result.violations == [
         "configuration 2 not in force at n",
         "route of configuration 1 still served at m",
@@ -187,37 +187,37 @@
     ]
 
 
-def test_series_overlap_and_a_seed_gives_the_same_ones() -> None:
+def test_series_overlap_and_are_reproducible_by_seed() -> None:
     planned = series.plan(7, 60.0, tuple(series.Kind))
     assert planned == series.plan(7, 60.0, tuple(series.Kind))
     for one, other in itertools.pairwise(planned):
-        assert one.start < other.start < one.start + one.shortest
+        assert one.start < other.start < one.start + one.min_duration
     assert {item.kind for item in series.plan(7, 60.0, series.PLANNED)} <= set(series.PLANNED)
 
 
-def test_the_judge_sees_back_ends_that_end_after_the_request_is_known() -> None:
+def test_too_many_crashes_after_the_request_is_known_are_reported() -> None:
     result = judging.Result(1, 1)
     judge = judging.Judge(result, judging.JudgedSite())
-    judge.note_crashes(b"crash", judging.MOST_LATER_CRASHES)
+    judge.judge_later_crashes(b"crash", judging.MAX_LATER_CRASHES)
     assert result.violations == []
-    judge.note_crashes(b"crash", judging.MOST_LATER_CRASHES + 1)
+    judge.judge_later_crashes(b"crash", judging.MAX_LATER_CRASHES + 1)
     assert len(result.violations) == 1
 
 
-def test_a_suspended_process_reads_how_long_it_slept(tmp_path: pathlib.Path) -> None:
+def test_suspended_time_is_visible_in_the_memory_map(tmp_path: pathlib.Path) -> None:
     suspended = suspendable_node.SuspendedTime(tmp_path / "suspended")
     suspended.create()
-    read = suspended.mapped()
-    assert suspendable_node.NUMBER.unpack(read[:]) == (0.0,)
+    read = suspended.map_file()
+    assert suspendable_node.SECONDS_FORMAT.unpack(read[:]) == (0.0,)
     suspended.add(2.5)
     suspended.add(1.0)
-    assert suspendable_node.NUMBER.unpack(read[:]) == (3.5,)
+    assert suspendable_node.SECONDS_FORMAT.unpack(read[:]) == (3.5,)
 
 
-async def test_a_proxy_that_crashes_refuses_connections_and_comes_back() -> None:
+async def test_crashed_proxy_refuses_connections_until_it_restarts() -> None:
     ports = processes.free_ports(2)
-    target, shown = (f"127.0.0.1:{port}" for port in ports)
-    item = proxy.FaultyProxy(shown, target)
+    target, proxy_address = (f"127.0.0.1:{port}" for port in ports)
+    item = proxy.FaultyProxy(proxy_address, target)
     ended = anyio.Event()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=ports[0])
@@ -237,23 +237,23 @@
         tasks.cancel_scope.cancel()
 
 
-def test_a_request_that_reaches_an_evacuated_zone_is_held_against_the_nodes() -> None:
+def test_request_that_ran_in_an_evacuated_zone_is_reported() -> None:
     result = judging.Result(1, 3)
     judge = judging.Judge(result, judging.JudgedSite())
-    judge.note_evacuation([])
+    judge.judge_evacuation([])
     assert result.violations == []
-    judge.note_evacuation(["0001"])
+    judge.judge_evacuation(["0001"])
     assert result.violations == ["ran in an evacuated zone: 0001"]
 
 
-def test_recorded_seeds_draw_from_what_they_drew_from() -> None:
-    assert len(series.OF_FIRST_SEEDS) == 11
-    assert series.OF_SECOND_SEEDS[:11] == series.OF_FIRST_SEEDS
-    assert len(series.OF_SECOND_SEEDS) == 13
+def test_kinds_of_recorded_seeds_are_unchanged() -> None:
+    assert len(series.KINDS_V1) == 11
+    assert series.KINDS_V2[:11] == series.KINDS_V1
+    assert len(series.KINDS_V2) == 13
 
 
 @pytest.mark.parametrize(
-    ("code", "log", "is_started"),
+    ("code", "log", "is_restarted"),
     [
         (-signal.SIGHUP, b"", True),
         (-signal.SIGHUP, b"{}", False),
@@ -262,10 +262,10 @@
         (None, b"", False),
     ],
 )
-def test_only_what_a_hang_up_ended_before_its_first_line_is_started_again(
-    code: int | None, log: bytes, is_started: bool, tmp_path: pathlib.Path
+def test_only_node_ended_by_sighup_before_its_first_log_line_is_restarted(
+    code: int | None, log: bytes, is_restarted: bool, tmp_path: pathlib.Path
 ) -> None:
-    class Ended:
+    class EndedProcess:
         def poll(self) -> int | None:
             return code
 
@@ -276,22 +276,22 @@
         started.append(number)
         path = tmp_path / "log"
         path.write_bytes(log)
-        process = processes.ManagedProcess("n", Ended(), path)  # type: ignore[arg-type]
+        process = processes.ManagedProcess("n", EndedProcess(), path)  # type: ignore[arg-type]
         return platform_site.NodeProcess(process, "", "", path)
 
     nodes = faults.Nodes(site, start)
     nodes.start_all(1)
-    nodes.start_those_ended_at_start()
-    assert started == ([0, 0] if is_started else [0])
+    nodes.restart_nodes_ended_at_start()
+    assert started == ([0, 0] if is_restarted else [0])
 
 
-def test_a_cold_back_end_that_gets_too_many_requests_is_held_against_the_nodes() -> None:
+def test_too_many_requests_to_a_cold_back_end_are_reported() -> None:
     result = judging.Result(1, 3)
     site = judging.JudgedSite()
     upstream = platform_site.Upstream("i", "plain", False, "", site)
     site.upstreams.append(upstream)
-    upstream.cold_runs = [number / 20 for number in range(judging.MOST_WHILE_COLD)]
-    assert site.most_while_cold() == judging.MOST_WHILE_COLD
+    upstream.cold_runs = [number / 20 for number in range(judging.MAX_REQUESTS_WHILE_COLD)]
+    assert site.most_while_cold() == judging.MAX_REQUESTS_WHILE_COLD
     judging.Judge(result, site).judge_end()
     assert not any("cold" in item for item in result.violations)
     upstream.cold_runs.append(0.99)
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "held_up", "sender", "is_blamed"),
+    ("limits", "held_up", "sender", "is_reported"),
     [
         ([(0.0, b"3")], [], "node/1", True),
         ([(0.0, b"3"), (8.0, b"2")], [], "node/1", True),
@@ -318,35 +318,35 @@
         ([(0.0, b"3")], [], "node/2", False),
     ],
 )
-def test_a_back_end_that_gets_more_than_its_limit_is_held_against_those_that_knew(
+def test_excess_over_a_limit_is_reported_for_nodes_that_know_it(
     limits: list[tuple[float, bytes]],
     held_up: list[tuple[float, float]],
     sender: str,
-    is_blamed: bool,
+    is_reported: bool,
 ) -> None:
     upstream = limited_upstream(limits)
     upstream.arrivals = [platform_site.Arrival(7.0 + n / 10, f"r{n}") for n in range(24)]
     senders = {"first": "node/1"} | {f"r{n}": sender for n in range(24)}
-    assert bool(limit_judging.excesses([upstream], senders, held_up)) is is_blamed
+    assert bool(limit_judging.excesses([upstream], senders, held_up)) is is_reported
     upstream.arrivals.pop()
     assert limit_judging.excesses([upstream], senders, held_up) == []
 
 
-def test_a_time_in_which_faults_of_the_store_still_wait_is_not_calm() -> None:
-    """A node that the store refused was blamed for the configuration that it could not hear of."""
+def test_queued_store_faults_count_as_unplanned_faults() -> None:
+    """Guards against blaming a node for a configuration that a store fault kept it from reading."""
     judged, _, site = judge()
-    reply = callers.Reply(callers.Ending.NOT_CONNECTED, 1.0, 1.0)
+    outcome = callers.Outcome(callers.Ending.NOT_CONNECTED, 1.0, 1.0)
     began = time.monotonic()
-    judged.note_reply("a", "node", reply, None)
+    judged.record_outcome("a", "node", outcome, None)
     assert judged.is_calm_since(began)
     site.store.faults.append(row_store.Fault.REFUSE)
-    judged.note_reply("a", "node", reply, None)
+    judged.record_outcome("a", "node", outcome, None)
     assert not judged.is_calm_since(time.monotonic())
-    assert judged.is_calm_since(time.monotonic() + judging.TOUCH + 1.0)
+    assert judged.is_calm_since(time.monotonic() + judging.FAULT_GRACE + 1.0)
 
 
-def test_a_request_that_was_not_served_is_told_with_its_reason(tmp_path: pathlib.Path) -> None:
-    """After a run in CI the logs are gone: a status alone left three hypotheses."""
+def test_request_that_was_not_served_is_described_from_the_logs(tmp_path: pathlib.Path) -> None:
+    """CI does not keep the logs, and a status alone once left three possible causes."""
     line = {
         "clock": 7.0,
         "event": "given_up",
@@ -356,25 +356,25 @@
     }
     (tmp_path / "node-0-0.log").write_text(json.dumps(line) + "\n")
     found = soak.Soak(1, tmp_path)
-    assert "its key had no owner" in found.reason("00ff")
-    assert "no line has the request id 00fe" in found.reason("00fe")
+    assert "its key had no owner" in found.describe_end("00ff")
+    assert "no line has the request id 00fe" in found.describe_end("00fe")
 
 
-def test_kinds_are_drawn_from_in_the_order_that_is_given() -> None:
+def test_parsed_kinds_keep_their_order() -> None:
     given = series.Kind.LIMIT, series.Kind.KILL
-    assert soak.kinds_of("limit,kill") == given
+    assert soak.parse_kinds("limit,kill") == given
     with pytest.raises(ValueError, match="earthquake"):
-        soak.kinds_of("limit,earthquake")
+        soak.parse_kinds("limit,earthquake")
 
 
-def sent_every(interval: float, until: float) -> dict[str, statement_judging.SentRequest]:
+def requests_every(interval: float, until: float) -> dict[str, statement_judging.SentRequest]:
     """Return requests to one node at a fixed interval, by request."""
     times = [number * interval for number in range(round(until / interval))]
     return {f"{at:g}": statement_judging.SentRequest("n/1", at) for at in times}
 
 
 @pytest.mark.parametrize(
-    ("last", "life", "held_up", "is_blamed"),
+    ("last", "life", "held_up", "is_reported"),
     [
         (2.0, 0, [], False),
         (2.5, 0, [], True),
@@ -384,18 +384,18 @@
     ],
 )
 def test_request_to_back_end_known_to_be_leaving_is_reported(
-    last: float, life: int, held_up: list[tuple[float, float]], is_blamed: bool
+    last: float, life: int, held_up: list[tuple[float, float]], is_reported: bool
 ) -> None:
     upstream = platform_site.Upstream("a", "s", False, "127.0.0.1:1", judging.JudgedSite())
-    sent = sent_every(0.5, 4.0)
+    sent = requests_every(0.5, 4.0)
     upstream.leaving_answers.append(platform_site.Arrival(0.0, "0"))
     upstream.arrivals_after_statement.append(platform_site.Arrival(last + 0.01, f"{last:g}", life))
     found = statement_judging.requests_after_leaving([upstream], sent, held_up)
-    assert bool(found) is is_blamed
+    assert bool(found) is is_reported
 
 
 @pytest.mark.parametrize(
-    ("arrivals", "life", "held_up", "is_blamed"),
+    ("arrivals", "life", "held_up", "is_reported"),
     [
         ([0.0, 0.25, 1.0, 2.0], 0, [], False),
         ([1.0, 2.0, 2.75], 0, [], True),
@@ -405,14 +405,14 @@
     ],
 )
 def test_third_request_during_backoff_is_reported(
-    arrivals: list[float], life: int, held_up: list[tuple[float, float]], is_blamed: bool
+    arrivals: list[float], life: int, held_up: list[tuple[float, float]], is_reported: bool
 ) -> None:
     upstream = platform_site.Upstream("a", "s", False, "127.0.0.1:1", judging.JudgedSite())
-    sent = sent_every(0.25, 4.0)
+    sent = requests_every(0.25, 4.0)
     backoff = platform_site.BackoffRequest(platform_site.Arrival(0.0, "0"), 3.0)
     upstream.backoff_requests.append(backoff)
     upstream.arrivals_after_statement += [
         platform_site.Arrival(at, f"{at:g}", life) for at in arrivals
     ]
     found = statement_judging.requests_during_backoff([upstream], sent, held_up)
-    assert bool(found) is is_blamed
+    assert bool(found) is is_reported
