--- a/tests/contract/test_daemon_command.py
+++ b/tests/contract/test_daemon_command.py
@@ -1,4 +1,4 @@
-"""The daemon's command line, and one node alone."""
+"""The daemon's command line, and a site with a single node."""
 
 import signal
 import subprocess
@@ -17,7 +17,7 @@
 COMMAND = [sys.executable, "-m", "limedeck.daemon.main"]
 
 
-def check(tmp_path: Path, content: str, *flags: str) -> subprocess.CompletedProcess[str]:
+def check_settings(tmp_path: Path, content: str, *flags: str) -> subprocess.CompletedProcess[str]:
     file = tmp_path / "settings.toml"
     file.write_text(content)
     return subprocess.run(
@@ -28,32 +28,34 @@
     )
 
 
-def test_good_settings_pass_the_check(tmp_path: Path) -> None:
-    result = check(tmp_path, GOOD_SETTINGS)
+def test_valid_settings_pass_the_check(tmp_path: Path) -> None:
+    result = check_settings(tmp_path, GOOD_SETTINGS)
     assert result.returncode == 0
     assert "settings are good" in result.stdout
 
 
 @pytest.mark.parametrize(("key", "content"), BAD_SETTINGS[:4])
-def test_bad_settings_end_with_code_2_and_say_why(tmp_path: Path, key: str, content: str) -> None:
-    result = check(tmp_path, content)
+def test_invalid_settings_exit_with_code_2_and_the_reason(
+    tmp_path: Path, key: str, content: str
+) -> None:
+    result = check_settings(tmp_path, content)
     assert result.returncode == 2
     assert f"settings.toml: {key}: " in result.stderr
     assert "expected" in result.stderr
 
 
-def test_flags_are_checked_like_the_file(tmp_path: Path) -> None:
-    result = check(tmp_path, GOOD_SETTINGS, "--peer-address", "nowhere")
+def test_flags_are_validated_like_the_file(tmp_path: Path) -> None:
+    result = check_settings(tmp_path, GOOD_SETTINGS, "--peer-address", "nowhere")
     assert result.returncode == 2
     assert "node.peer_address" in result.stderr
 
 
-def test_settings_are_needed() -> None:
+def test_settings_are_required() -> None:
     result = subprocess.run(COMMAND, capture_output=True, text=True, timeout=60)
     assert result.returncode == 2
 
 
-def test_one_node_alone_serves_and_stops_with_code_0(tmp_path: Path) -> None:
+def test_single_node_serves_and_stops_with_code_0(tmp_path: Path) -> None:
     site = Site.model_validate({**SMALL_SITE.model_dump(), "zones": ["only"]})
     cluster = Cluster(site, tmp_path)
     try:
--- a/tests/contract/test_platform.py
+++ b/tests/contract/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's adapters against the stand-in over HTTP."""
+"""The HTTP adapters for the platform, with the platform stand-in."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -43,7 +43,7 @@
 
 @pytest.fixture(scope="module")
 def run() -> Iterator[Run]:
-    """Calls coroutine functions, all in one event loop."""
+    """A function that calls coroutine functions, all in one event loop."""
     with start_blocking_portal() as portal:
         yield portal.call
 
@@ -71,7 +71,7 @@
     }
 
 
-def test_a_transaction_happens_whole_or_not_at_all(table: HttpTransactionalTable, run: Run) -> None:
+def test_transaction_is_atomic(table: HttpTransactionalTable, run: Run) -> None:
     first = run(table.transact, [], [Write("b/1", b"1"), Write("b/2", b"1")])
     with pytest.raises(TransactionConflict) as caught:
         conditions = [Condition("b/1", first), Condition("b/2", first - 1)]
@@ -102,12 +102,12 @@
 
 
 def test_a_slow_store_is_unavailable_after_the_timeout(url: str, run: Run) -> None:
-    impatient = HttpTransactionalTable(url, 0.1)
+    short_timeout_table = HttpTransactionalTable(url, 0.1)
     with faults(url, delay_seconds=1.0), pytest.raises(PlatformUnavailable):
-        run(impatient.read, ["a"])
+        run(short_timeout_table.read, ["a"])
 
 
-def test_an_answer_can_be_lost_after_the_write(
+def test_response_can_be_lost_after_the_write(
     url: str, table: HttpTransactionalTable, run: Run
 ) -> None:
     with faults(url, lost_answers=1), pytest.raises(PlatformUnavailable):
@@ -115,7 +115,7 @@
     assert run(table.read, ["f"])["f"].value == b"1"
 
 
-def test_a_refusal_by_rate_is_an_error_of_its_own(
+def test_refusal_by_rate_limit_has_its_own_error(
     tmp_path_factory: pytest.TempPathFactory, run: Run
 ) -> None:
     with platform(tmp_path_factory, "0.01") as address:
@@ -132,13 +132,13 @@
         run(table.read, ["a"])
 
 
-def test_an_answer_outside_the_protocol_is_an_error_of_its_own(url: str, run: Run) -> None:
+def test_response_that_violates_the_protocol_has_its_own_error(url: str, run: Run) -> None:
     machines = HttpMachineList(f"{url}/lab", TIMEOUT)
     with pytest.raises(PlatformProtocolError):
         run(machines.machines)
 
 
-def test_objects_are_stored_replaced_and_missed(url: str, run: Run) -> None:
+def test_objects_are_stored_and_replaced_and_missing_ones_are_absent(url: str, run: Run) -> None:
     store = HttpObjectStore(url, TIMEOUT)
     run(store.put, "snapshots/1", b"first")
     run(store.put, "snapshots/1", b"second")
@@ -148,7 +148,7 @@
         run(store.get, "snapshots/1")
 
 
-def test_the_machine_list_tells_live_and_leaving_machines(url: str, run: Run) -> None:
+def test_machine_list_reports_leaving_machines(url: str, run: Run) -> None:
     body = {"machine_id": "m1", "address": "127.0.0.1:1", "zone": "z", "state": "leaving"}
     httpx.put(f"{url}/lab/v1/machines", json={"machines": [body]}).raise_for_status()
     machines = run(HttpMachineList(url, TIMEOUT).machines)
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("path", ["/table/v1/read", "/table/v1/transact", "/lab/v1/faults"])
-def test_the_stand_in_refuses_what_it_cannot_read(url: str, path: str) -> None:
+def test_stand_in_rejects_unreadable_requests(url: str, path: str) -> None:
     method = "PUT" if path.startswith("/lab") else "POST"
     response = httpx.request(method, f"{url}{path}", content=b'{"keys": 7, "down": "x"}')
     assert response.status_code == 400
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,4 @@
-"""A small site in real processes."""
+"""Fixtures that run a small site in separate processes."""
 
 from collections.abc import Iterator
 
@@ -37,7 +37,7 @@
 
 
 def started_cluster() -> Iterator[Cluster]:
-    """Start the site and create its objects."""
+    """Run the site with its services and back ends created, until the generator is closed."""
     with running_cluster(SMALL_SITE) as cluster:
         cluster.wait_until_serving(cluster.create_objects())
         yield cluster
@@ -45,11 +45,11 @@
 
 @pytest.fixture(scope="package")
 def shared_cluster() -> Iterator[Cluster]:
-    """One site for tests that leave it as they found it."""
+    """A site shared by tests that restore its initial state."""
     yield from started_cluster()
 
 
 @pytest.fixture
 def own_cluster() -> Iterator[Cluster]:
-    """A site of its own for a test that breaks things."""
+    """A separate site for a test that does not restore its initial state."""
     yield from started_cluster()
--- a/tests/system/paced_callers.py
+++ b/tests/system/paced_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send so many requests a second to all nodes that run, one after the other."""
+"""Callers that send requests at a fixed rate to all running nodes in turn."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.system import platform_site
 
 THREADS = 4
-PATIENCE = 4.0
+REQUEST_TIMEOUT_SECONDS = 4.0
 
 
 class PacedCallers:
@@ -23,17 +23,19 @@
 
     Parameters
     ----------
+    rate
+        Requests per second from all callers together.
     keys
-        Requests are for these in turn.
+        Keys of the requests, in turn.
 
     Attributes
     ----------
     statuses
-        How many requests had which answer; zero: none.
+        Number of requests by status of the response; zero: no response.
     sent
-        When and to which node each request was sent, by request.
+        When and to which node each request was sent, by request id.
     slowest_refusal
-        The longest time in seconds until a request was refused as not run.
+        Longest time in seconds until a response with status 503.
     """
 
     def __init__(
@@ -44,14 +46,14 @@
         self.slowest_refusal = 0.0
         self._site = site
         self._path = path
-        self._pause = THREADS / rate
+        self._interval = THREADS / rate
         self._keys = itertools.cycle(keys)
         self._ended = threading.Event()
         self._lock = threading.Lock()
 
     @contextlib.contextmanager
     def calling(self) -> Iterator[PacedCallers]:
-        """Call until the block ends."""
+        """Send requests until the block ends."""
         threads = [threading.Thread(target=self._call, args=(i,)) for i in range(THREADS)]
         for thread in threads:
             thread.start()
@@ -63,12 +65,12 @@
                 thread.join()
 
     def _call(self, number: int) -> None:
-        due = time.monotonic() + self._pause * number / THREADS
-        with httpx.Client(timeout=PATIENCE, trust_env=False) as client:
+        due = time.monotonic() + self._interval * number / THREADS
+        with httpx.Client(timeout=REQUEST_TIMEOUT_SECONDS, trust_env=False) as client:
             for turn in itertools.count(number):
                 if self._ended.wait(max(due - time.monotonic(), 0.0)):
                     return
-                due = max(due + self._pause, time.monotonic() - self._pause)
+                due = max(due + self._interval, time.monotonic() - self._interval)
                 node = self._site.nodes[turn % len(self._site.nodes)]
                 if node.process.is_running:
                     self._send(client, node)
@@ -78,14 +80,14 @@
         with self._lock:
             key = next(self._keys)
         try:
-            answer = self._site.send(client, node, self._path, key)
-            status = answer.status_code
-            request = answer.request.headers["x-attempt-id"]
+            response = self._site.send(client, node, self._path, key)
+            status = response.status_code
+            request = response.request.headers["x-attempt-id"]
             self.sent[request] = statement_judging.SentRequest(node.callers, began)
         except httpx.HTTPError:
             status = 0
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - began
         with self._lock:
             self.statuses[status] += 1
             if status == httpx.codes.SERVICE_UNAVAILABLE:
-                self.slowest_refusal = max(self.slowest_refusal, took)
+                self.slowest_refusal = max(self.slowest_refusal, elapsed)
--- a/tests/system/platform_site.py
+++ b/tests/system/platform_site.py
@@ -1,4 +1,7 @@
-"""A small site on the users' platform: stand-in store and upstreams here, nodes as processes."""
+"""A small site on the users' platform: node processes, and a stand-in store and upstreams.
+
+The store and the upstreams run in the process of the test.
+"""
 
 from __future__ import annotations
 
@@ -35,53 +38,61 @@
     more="has_more",
 )
 KEYS = 65_536
-WORK_TIME = 0.02
+SERVICE_SECONDS = 0.02
 CRASHING = b"crash"
-"""In the body of a request that ends each upstream which runs it."""
+"""A request whose body contains this crashes each upstream that runs it."""
 DOWN_TIME = 2.0
-"""Seconds until an upstream that has crashed is back."""
+"""Seconds until an upstream that has ended accepts connections again."""
 Application = Callable[[dict[str, Any], Any, Any], Awaitable[None]]
 
 
 @dataclass
 class Upstream:
-    """One upstream; all of a site are judged together.
+    """Stand-in of one back end, which records the requests and orders that it receives.
 
     Parameters
     ----------
     held
-        Ranges with their fence and end, on the test's clock.
+        Granted ranges, each with its fencing token and the end of its lease on the test's clock.
     released
-        Ranges and the fences of their releases; no grant below one of these is taken.
+        Released ranges with the fencing tokens of their releases; grants with a lower token are
+        rejected.
     proxy
-        Stands before it; it can crash only with one.
-    life
-        Counts its starts under new names, after the first.
-    starts
-        Counts all its starts after the first.
-    born
-        When its present life under this name started; zero: it does not tell.
+        Proxy through which it is reached; without one it cannot crash or restart.
+    renamed_restarts
+        Number of restarts under a new name.
+    restarts
+        Number of all restarts.
+    started_ms
+        When its present incarnation under this name started, in milliseconds since 1970; zero: its
+        entry has no start time.
     cold_until, cold_runs
-        On the test's clock: until when it is cold, and when requests came to it meanwhile.
+        On the test's clock: until when it is cold, and when it ran requests while cold.
     limit
-        What its answers name as the requests a second that it takes; empty: they name none.
+        Requests per second that its responses state as its limit; empty: they state none.
     limits_named
-        When it began to name what, on the test's clock; the last one holds.
+        The limits that it stated, each with the time from which on, on the test's clock.
     arrivals
-        Requests that came to it while it named a limit.
+        Requests that it received while it stated a limit.
     told
-        Requests that it answered with its limit, and when.
+        Requests to which it responded with its limit, and when.
     leaving
-        Its answers announce that it is leaving.
+        Whether its responses announce that it is leaving.
     requested_backoff
         Seconds of back-off that it requests as it rejects requests; zero: it accepts them.
     arrivals_after_statement
         Requests that it received since it first announced leaving or requested back-off, except
         those for keys that it does not hold.
     leaving_answers
-        Requests that it answered with a leaving announcement, and when.
+        Requests to which it responded with a leaving announcement, and when.
     backoff_requests
         Its requests for back-off.
+    down
+        Whether it has ended and not started again yet.
+    draining
+        Whether its entry states that it is draining.
+    silent
+        Whether it sends no response within 5 s to any request or order.
     """
 
     name: str
@@ -90,10 +101,10 @@
     address: str
     site: Site
     proxy: FaultyProxy | None = None
-    life: int = 0
-    starts: int = 0
+    renamed_restarts: int = 0
+    restarts: int = 0
     zone: str = "z1"
-    born: int = 0
+    started_ms: int = 0
     cold_until: float = 0.0
     cold_runs: list[float] = field(default_factory=list)
     limit: bytes = b""
@@ -112,7 +123,7 @@
     released: list[tuple[tuple[int, int], int]] = field(default_factory=list)
 
     async def __call__(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Respond to one request or order."""
         if scope["type"] != "http":
             return
         body = b""
@@ -128,7 +139,7 @@
             return
         headers = dict(scope["headers"])
         if headers.get(b"x-expect-instance", self.name.encode()) != self.name.encode():
-            await _answer(send, 421, [(b"x-not-executed", b"1")])
+            await _respond(send, 421, [(b"x-not-executed", b"1")])
         elif scope["path"] == "/v1/grant":
             await self._grant(json.loads(body), send)
         elif scope["path"] == "/v1/release":
@@ -139,14 +150,14 @@
     async def _grant(self, order: dict[str, Any], send: Any) -> None:
         span = (order["from"], order["target_version"])
         seen = [(at, fence) for at, (fence, _) in self.held.items()] + self.released
-        if any(fence > order["fence"] for at, fence in seen if _meet(at, span)):
-            await _answer(send, 409, [])
+        if any(fence > order["fence"] for at, fence in seen if _overlap(at, span)):
+            await _respond(send, 409, [])
             return
-        for at in [at for at in self.held if _within(at, span)]:
+        for at in [at for at in self.held if _is_within(at, span)]:
             del self.held[at]
         self.held[span] = (order["fence"], time.monotonic() + order["hold_s"])
         self.site.judge()
-        await _answer(send, 200, [])
+        await _respond(send, 200, [])
 
     async def _release(self, order: dict[str, Any], send: Any) -> None:
         span = (order["from"], order["target_version"])
@@ -157,7 +168,7 @@
                     kept[piece] = held
         self.held = kept
         self.released.append((span, order["fence"]))
-        await _answer(send, 200, [(b"x-handover", b"token")])
+        await _respond(send, 200, [(b"x-handover", b"token")])
 
     async def _work(self, headers: dict[bytes, bytes], body: bytes, send: Any) -> None:
         request_id = headers[b"x-attempt-id"]
@@ -166,7 +177,7 @@
         echo = [(b"x-attempt-id", request_id), (b"x-upstream-load", b"1,0,2")]
         key = int(headers.get(b"x-shard-key", b"0"))
         if self.keyed and not self.holds(key):
-            await _answer(send, 421, [*echo, (b"x-not-executed", b"1")])
+            await _respond(send, 421, [*echo, (b"x-not-executed", b"1")])
             return
         if self.leaving or self.requested_backoff or self.leaving_answers or self.backoff_requests:
             self.arrivals_after_statement.append(self._arrival(request_id))
@@ -176,7 +187,7 @@
         self.site.runs.append((request_id.decode(), self.name))
         if time.monotonic() < self.cold_until:
             self.cold_runs.append(time.monotonic())
-        await anyio.sleep(WORK_TIME)
+        await anyio.sleep(SERVICE_SECONDS)
         if CRASHING in body and self.proxy is not None and not self.down:
             self.site.crashes.append(Crash(time.monotonic(), body, self.name))
             await self._crash(self.proxy)
@@ -188,10 +199,10 @@
         limited = [(b"server-limit", self.limit)] if self.limit else []
         if limited:
             self.told.append(Arrival(time.monotonic(), request_id.decode()))
-        await _answer(send, 200, [*signed, *limited], request_id + b":" + body)
+        await _respond(send, 200, [*signed, *limited], request_id + b":" + body)
 
     def _arrival(self, request_id: bytes) -> Arrival:
-        return Arrival(time.monotonic(), request_id.decode(), self.starts)
+        return Arrival(time.monotonic(), request_id.decode(), self.restarts)
 
     async def _reject_with_backoff(
         self, request_id: bytes, echo: list[tuple[bytes, bytes]], send: Any
@@ -203,31 +214,31 @@
             BackoffRequest(self._arrival(request_id), self.requested_backoff)
         )
         retry_after = (b"retry-after", b"%g" % self.requested_backoff)
-        await _answer(send, 503, [*echo, (b"x-not-executed", b"1"), retry_after, *leaving])
+        await _respond(send, 503, [*echo, (b"x-not-executed", b"1"), retry_after, *leaving])
 
     async def _crash(self, proxy: FaultyProxy) -> None:
-        """End, and come back some time later under another id and without any keys."""
+        """Crash, and restart after `DOWN_TIME` under another name and without any keys."""
         self.down = True
         await proxy.crash(DOWN_TIME)
         self.held = {}
         self.released = []
-        former = self.name
-        self.life += 1
-        self._begin_life()
-        self.name = f"{former.partition('.')[0]}.{self.life}"
+        former_name = self.name
+        self.renamed_restarts += 1
+        self._reset_statements()
+        self.name = f"{former_name.partition('.')[0]}.{self.renamed_restarts}"
         with anyio.CancelScope(shield=True):
             await anyio.sleep(DOWN_TIME)
         self.down = False
-        self.site.store.drop("servers", "", former)
+        self.site.store.drop("servers", "", former_name)
         self.site.list_upstream(self)
 
     async def begin_again(self, warmup: float = 0.0) -> None:
-        """End, and start again under the same name; it holds and knows nothing of before.
+        """Crash, and restart after `DOWN_TIME` under the same name and without any keys.
 
         Parameters
         ----------
         warmup
-            It is cold for so long then, in seconds.
+            Seconds for which it is cold after the restart.
         """
         if self.proxy is None or self.down:
             return
@@ -235,40 +246,48 @@
         await self.proxy.crash(DOWN_TIME)
         self.held = {}
         self.released = []
-        self._begin_life()
+        self._reset_statements()
         await anyio.sleep(DOWN_TIME)
-        self.born = time.time_ns() // 1_000_000
+        self.started_ms = time.time_ns() // 1_000_000
         self.cold_until = time.monotonic() + warmup
         self.down = False
         self.site.list_upstream(self)
 
-    def _begin_life(self) -> None:
-        self.starts += 1
+    def _reset_statements(self) -> None:
+        self.restarts += 1
         self.leaving = False
         self.requested_backoff = 0.0
 
     def name_limit(self, limit: bytes) -> None:
-        """Name a limit in answers from now on, or none any more."""
+        """State this limit in responses from now on; none if it is empty."""
         self.limit = limit
         self.limits_named.append((time.monotonic(), limit))
 
-    def most_arrivals(self, seconds: float, since: float) -> int:
-        """The most requests that came within so long, from a time on, while it named a limit."""
+    def max_arrivals(self, seconds: float, since: float) -> int:
+        """Return the most requests received in a period of this length while it stated a limit.
+
+        Parameters
+        ----------
+        seconds
+            Length of the period.
+        since
+            Only requests that it received from then on count, on the test's clock.
+        """
         later = [item.at for item in self.arrivals if item.at >= since]
         return max((sum(0 <= at - start < seconds for at in later) for start in later), default=0)
 
     def holds(self, key: int) -> bool:
-        """Whether it would run a request for a key now."""
+        """Whether it has a lease for a key now."""
         now = time.monotonic()
         return any(
             first <= key <= last and end > now for (first, last), (_, end) in self.held.items()
         )
 
     def entry(self) -> bytes:
-        """What it writes about itself."""
+        """Return its entry for the metadata store, as JSON."""
         return json.dumps(
             {
-                **({"born": self.born} if self.born else {}),
+                **({"born": self.started_ms} if self.started_ms else {}),
                 "address": self.address,
                 "info": {"backend": self.service, "version": "v1", "zone": self.zone, "slots": 2},
                 "status": {
@@ -280,15 +299,15 @@
         ).encode()
 
 
-def _meet(one: tuple[int, int], other: tuple[int, int]) -> bool:
+def _overlap(one: tuple[int, int], other: tuple[int, int]) -> bool:
     return one[0] <= other[1] and other[0] <= one[1]
 
 
-def _within(one: tuple[int, int], other: tuple[int, int]) -> bool:
+def _is_within(one: tuple[int, int], other: tuple[int, int]) -> bool:
     return other[0] <= one[0] and one[1] <= other[1]
 
 
-async def _answer(
+async def _respond(
     send: Any, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b""
 ) -> None:
     framed = [*headers, (b"content-length", b"%d" % len(body))]
@@ -298,14 +317,16 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request at an upstream.
+    """A request that an upstream received.
 
     Parameters
     ----------
     at
         On the test's clock, in seconds.
+    request
+        Its id.
     life
-        The upstream's `starts` at that time.
+        The upstream's `restarts` at that time.
     """
 
     at: float
@@ -329,14 +350,16 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """An upstream ended under a request.
+    """A crash of an upstream while it ran a request.
 
     Parameters
     ----------
     at
         On the test's clock, in seconds.
     body
-        Of the request.
+        Body of the request.
+    upstream
+        Name of the upstream.
     """
 
     at: float
@@ -346,7 +369,15 @@
 
 @dataclass
 class NodeProcess:
-    """One node."""
+    """The process of one node.
+
+    Parameters
+    ----------
+    callers, readiness
+        Addresses for callers' requests and for readiness, metrics and operators' questions.
+    settings
+        The settings file.
+    """
 
     process: ManagedProcess
     callers: str
@@ -354,33 +385,38 @@
     settings: Path
 
     def is_ready(self) -> bool:
-        """Whether it says so."""
+        """Whether its readiness endpoint answers with status 200."""
         try:
             return httpx.get(f"http://{self.readiness}/v1/readyz", timeout=1.0).status_code == 200
         except httpx.HTTPError:
             return False
 
 
-def _not_started(number: int, life: int) -> NodeProcess:
-    raise NotImplementedError(f"node {number} of a site that does not run")
+def _not_started(number: int, restart: int) -> NodeProcess:
+    raise NotImplementedError(f"cannot start node {number}: the site is not running")
 
 
 @dataclass
 class Site:
-    """Store, upstreams and nodes.
+    """Metadata store, upstreams and nodes.
 
     Parameters
     ----------
     runs
-        Requests that ran, and where.
+        Ids of the requests that ran, each with the name of the upstream.
     two_owners
-        Pairs of upstreams that held a key at the same moment.
+        Pairs of upstreams that had leases for the same key at the same time.
+    sent
+        Number of requests sent so far; request ids are made from it.
+    restarts
+        Number of restarts of nodes.
     cold_rate
-        Requests a second that a cold upstream bears, by the configurations from now on.
+        Requests per second for a cold upstream in configurations written from now on; zero: not
+        configured.
     start_soon
-        Runs a coroutine function where the upstreams are served.
-    start_life
-        Starts a life of a node, by the numbers of both.
+        Starts a coroutine function in the event loop that serves the upstreams.
+    launch_node
+        Starts a node, given its number and the number of the restart.
     """
 
     store: RowStoreStandIn = field(default_factory=lambda: RowStoreStandIn(WORDS))
@@ -390,13 +426,13 @@
     two_owners: list[tuple[str, str]] = field(default_factory=list)
     crashes: list[Crash] = field(default_factory=list)
     sent: int = 0
-    lives: int = 0
+    restarts: int = 0
     cold_rate: float = 0.0
     start_soon: Callable[..., object] = print
-    start_life: Callable[[int, int], NodeProcess] = _not_started
+    launch_node: Callable[[int, int], NodeProcess] = _not_started
 
     def judge(self) -> None:
-        """Look for keys that two upstreams hold."""
+        """Record pairs of upstreams that have leases for the same key."""
         now = time.monotonic()
         spans = sorted(
             (span, upstream.name)
@@ -405,19 +441,19 @@
             for span, (_, end) in upstream.held.items()
             if end > now
         )
-        for (one, owner), (other, rival) in itertools.pairwise(spans):
-            if owner != rival and _meet(one, other):
-                self.two_owners.append((owner, rival))
+        for (one, owner), (other, other_owner) in itertools.pairwise(spans):
+            if owner != other_owner and _overlap(one, other):
+                self.two_owners.append((owner, other_owner))
 
     def restart_nodes(self) -> None:
-        """Start another life of every node that has ended."""
+        """Restart every node whose process has ended."""
         for number, node in enumerate(self.nodes):
             if not node.process.is_running:
-                self.lives += 1
-                self.nodes[number] = self.start_life(number, self.lives)
+                self.restarts += 1
+                self.nodes[number] = self.launch_node(number, self.restarts)
 
     def list_upstream(self, upstream: Upstream) -> None:
-        """Write an upstream's entry to the store."""
+        """Write an upstream's entry to the metadata store."""
         self.store.put("servers", upstream.name, upstream.entry())
 
     def configure(self, version: int, routes: list[dict[str, Any]]) -> None:
@@ -437,22 +473,28 @@
         self.store.put("op", "config", json.dumps(body).encode())
 
     def send(self, client: httpx.Client, node: NodeProcess, path: str, key: int) -> httpx.Response:
-        """Send one request with an id of its own."""
+        """Send a GET request with a new request id."""
         return client.get(f"http://{node.callers}{path}", headers=self._headers(key))
 
     def post(
         self, client: httpx.Client, node: NodeProcess, path: str, body: bytes, key: int = 0
     ) -> int:
-        """Send one request with an id of its own and a body; return the answer's status."""
+        """Send a POST request with a new request id; return the status of the response."""
         url = f"http://{node.callers}{path}"
         return client.post(url, headers=self._headers(key), content=body).status_code
 
-    def end_and_start_cold(self, upstream: Upstream, warmup: float) -> None:
-        """End an upstream, which is back some time later, cold, under its name."""
+    def restart_cold(self, upstream: Upstream, warmup: float) -> None:
+        """Crash an upstream, which restarts cold under the same name after `DOWN_TIME`.
+
+        Parameters
+        ----------
+        warmup
+            Seconds for which it is cold after the restart.
+        """
         self.start_soon(upstream.begin_again, warmup)
 
     def most_while_cold(self) -> int:
-        """The most requests that came to a cold upstream in any second."""
+        """Return the most requests that a cold upstream ran in any second."""
         return max(
             (
                 sum(start <= at < start + 1.0 for at in upstream.cold_runs)
@@ -463,7 +505,7 @@
         )
 
     def crashes_under(self, body: bytes) -> list[float]:
-        """When upstreams ended under the requests with this body."""
+        """Return when upstreams crashed while they ran a request with this body."""
         return [crash.at for crash in self.crashes if crash.body == body]
 
     def _headers(self, key: int) -> dict[str, str]:
@@ -476,7 +518,7 @@
         }
 
     def everything_is_held(self) -> bool:
-        """Whether each key of a sample has an owner."""
+        """Whether some upstream has a lease for each key of a sample."""
         keyed = [upstream for upstream in self.upstreams if upstream.keyed]
         return all(
             any(upstream.holds(key) for upstream in keyed) for key in range(0, KEYS, KEYS // 64)
@@ -484,7 +526,7 @@
 
 
 def route(prefix: str, service: str, kind: str = "safe") -> dict[str, Any]:
-    """One route of the operator's configuration."""
+    """Return one route of the operator's configuration."""
     return {
         "name": f"r{prefix}",
         "domain": "h.example",
@@ -526,31 +568,45 @@
     folder: Path,
     store: str,
     number: int,
-    life: int = 0,
+    restart: int = 0,
     suspended: SuspendedTime | None = None,
     ports: list[int] | None = None,
 ) -> NodeProcess:
-    """Start one node, on a machine that can be suspended if that is given.
+    """Start one node.
 
     Parameters
     ----------
+    number
+        Number of the node.
+    restart
+        Number of the restart; zero: the first start.
+    suspended
+        Suspended time of the node's machine; if given, the machine can be suspended.
     ports
-        Of a machine that is started again; others are found if none are given.
+        Ports that a restarted node keeps; free ones are chosen if none are given.
     """
     ports = ports or free_ports(3)
-    settings = folder / f"node-{number}-{life}.toml"
+    settings = folder / f"node-{number}-{restart}.toml"
     settings.write_text(_settings(store, number, ports))
     module, arguments = "limedeck.node", ["--settings", str(settings)]
     if suspended is not None:
         module = suspendable_node.__name__
         arguments = [str(suspended.path), *arguments]
-    process = processes.start(f"node-{number}-{life}", module, arguments)
+    process = processes.start(f"node-{number}-{restart}", module, arguments)
     return NodeProcess(process, f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}", settings)
 
 
 @contextmanager
 def running_site(folder: Path, keyed: int = 3, plain: int = 2, nodes: int = 3) -> Iterator[Site]:
-    """Run a whole site until the block ends."""
+    """Run a site until the block ends.
+
+    Parameters
+    ----------
+    folder
+        For settings files and logs.
+    keyed, plain, nodes
+        Numbers of upstreams of the keyed and the unkeyed service, and of nodes.
+    """
     site = Site()
     count = keyed + plain
     addresses = [f"127.0.0.1:{port}" for port in free_ports(2 * count + 1)]
@@ -575,11 +631,11 @@
         futures += [portal.start_task_soon(proxy.serve, ended) for proxy in proxies]
         try:
             site.start_soon = portal.start_task_soon
-            site.start_life = functools.partial(start_node, processes, folder, store_address)
+            site.launch_node = functools.partial(start_node, processes, folder, store_address)
             for number in range(nodes):
-                site.nodes.append(site.start_life(number, 0))
+                site.nodes.append(site.launch_node(number, 0))
             wait_until(lambda: all(node.is_ready() for node in site.nodes), "nodes are ready")
-            wait_until(site.everything_is_held, "all keys are held")
+            wait_until(site.everything_is_held, "all keys have owners")
             yield site
         finally:
             for node in site.nodes:
--- a/tests/system/test_callers.py
+++ b/tests/system/test_callers.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers against real back-end stand-ins: outcomes and executions, case by case."""
+"""The HTTP interface for callers with stand-in back ends: outcomes and executions of requests."""
 
 import json
 import socket
@@ -37,7 +37,7 @@
 
 @contextmanager
 def faults(cluster: Cluster, backends: list[str], **settings: object) -> Iterator[None]:
-    """Switch faults on for as long as the context lasts."""
+    """Enable faults of back ends until the block ends."""
     try:
         for name in backends:
             cluster.set_backend_faults(name, **settings)
@@ -47,7 +47,7 @@
             cluster.set_backend_faults(name)
 
 
-def test_a_keyed_request_is_answered_by_the_owner(shared_cluster: Cluster) -> None:
+def test_keyed_request_is_sent_to_the_owner(shared_cluster: Cluster) -> None:
     client = shared_cluster.client()
     for number in range(20):
         owner = client.locate("parcels", f"key-{number}").owner.backend_id
@@ -88,7 +88,9 @@
 
 
 @pytest.mark.parametrize("case", BAD_REQUESTS, ids=lambda case: case.name)
-def test_bad_requests_get_typed_answers(shared_cluster: Cluster, case: BadRequest) -> None:
+def test_bad_requests_get_typed_problem_responses(
+    shared_cluster: Cluster, case: BadRequest
+) -> None:
     response = send(
         shared_cluster, case.method, case.path, headers=dict(case.headers), content=case.body
     )
@@ -104,7 +106,7 @@
     assert response.status_code in (400, 431)
 
 
-def test_a_body_cut_short_is_never_run(shared_cluster: Cluster) -> None:
+def test_request_with_truncated_body_is_never_run(shared_cluster: Cluster) -> None:
     host, _, port = shared_cluster.addresses[0].caller.rpartition(":")
     with socket.create_connection((host, int(port))) as connection:
         connection.sendall(
@@ -117,7 +119,7 @@
 
 @dataclass(frozen=True)
 class FaultCase:
-    """A fault of every back end that may take the request, and what must come of it."""
+    """A fault of all back ends of the service, with the expected outcome of a request."""
 
     name: str
     method: str
@@ -131,13 +133,13 @@
 FAULT_CASES = [
     FaultCase("cut before run, once only", "POST", {"cut_before": True}, "unknown", 502, 0),
     FaultCase("cut after run, once only", "POST", {"cut_after": True}, "unknown", 502, 1),
-    FaultCase("half an answer, once only", "POST", {"half_answer": True}, "unknown", 502, 1),
-    FaultCase("answer too late, once only", "POST", {"answer_delay_seconds": 3}, "unknown", 504, 1),
+    FaultCase("truncated response, once only", "POST", {"half_answer": True}, "unknown", 502, 1),
+    FaultCase("late response, once only", "POST", {"answer_delay_seconds": 3}, "unknown", 504, 1),
     FaultCase("shed, once only", "POST", {"shed_all": True}, "not-run", 503, 0),
     FaultCase("shed, repeatable", "GET", {"shed_all": True}, "not-run", 503, 0),
-    FaultCase("half an answer, repeatable", "GET", {"half_answer": True}, "unknown", 502, 0),
+    FaultCase("truncated response, repeatable", "GET", {"half_answer": True}, "unknown", 502, 0),
     FaultCase("frozen past the deadline", "POST", {"frozen": True}, "unknown", 504, 0),
-    FaultCase("lying health, once only", "POST", {"health": "broken"}, "whole", 200, 1),
+    FaultCase("false health status, once only", "POST", {"health": "broken"}, "whole", 200, 1),
 ]
 
 
@@ -164,12 +166,12 @@
 
 
 def fill_retry_budget(cluster: Cluster) -> None:
-    """Earn back the retries that earlier tests have used up."""
+    """Refill the retry budget that earlier tests have used up, by successful requests."""
     for _ in range(100):
         assert send(cluster, "GET", "/filing/r").status_code == 200
 
 
-def test_one_broken_back_end_of_two_costs_a_repeatable_request_nothing(
+def test_repeatable_request_succeeds_though_one_of_two_back_ends_truncates_responses(
     shared_cluster: Cluster,
 ) -> None:
     fill_retry_budget(shared_cluster)
@@ -180,7 +182,7 @@
             assert response.json()["backend"] == FILING[1]
 
 
-def test_a_shed_request_that_may_run_once_goes_to_the_other_back_end(
+def test_shed_request_that_may_run_once_goes_to_the_other_back_end(
     shared_cluster: Cluster,
 ) -> None:
     fill_retry_budget(shared_cluster)
@@ -192,7 +194,7 @@
     assert all(ran[f"shed-{number}"] == 1 for number in range(10))
 
 
-def test_a_load_page_that_lies_costs_no_request(shared_cluster: Cluster) -> None:
+def test_false_load_report_fails_no_request(shared_cluster: Cluster) -> None:
     page = f"http://{shared_cluster.backends[-1].address}/limedeck/v1/load"
     with faults(shared_cluster, FILING, reported_in_flight=1_000):
         assert CLIENT.get(page).json() == {"in_flight": 1_000}
@@ -202,17 +204,17 @@
     assert CLIENT.get(page).json() == {"in_flight": 0}
 
 
-def test_the_same_request_id_twice_at_once_is_one_request(shared_cluster: Cluster) -> None:
+def test_concurrent_requests_with_the_same_id_run_once(shared_cluster: Cluster) -> None:
     with faults(shared_cluster, FILING, answer_delay_seconds=0.5), ThreadPoolExecutor(4) as pool:
-        answers = list(
+        responses = list(
             pool.map(lambda _: send(shared_cluster, "POST", "/filing/r", "twice"), range(4))
         )
-    assert {answer.status_code for answer in answers} == {200}
-    assert {answer.json()["request_id"] for answer in answers} == {"twice"}
+    assert {response.status_code for response in responses} == {200}
+    assert {response.json()["request_id"] for response in responses} == {"twice"}
     assert shared_cluster.executions()["twice"] == 1
 
 
-def test_a_late_answer_never_reaches_another_request(shared_cluster: Cluster) -> None:
+def test_late_response_never_reaches_another_request(shared_cluster: Cluster) -> None:
     with faults(shared_cluster, FILING, answer_delay_seconds=0.6):
         late = send(
             shared_cluster, "POST", "/filing/late", "late", headers={"limedeck-deadline-ms": "200"}
@@ -224,14 +226,14 @@
         assert response.json()["request_id"] == f"next-{number}"
 
 
-def test_a_caller_that_goes_away_cancels_its_request(shared_cluster: Cluster) -> None:
+def test_request_is_canceled_when_its_caller_disconnects(shared_cluster: Cluster) -> None:
     request = b"POST /filing/r HTTP/1.1\r\nhost: x\r\nlimedeck-request-id: gone\r\n\r\n"
     host, _, port = shared_cluster.addresses[0].caller.rpartition(":")
     with faults(shared_cluster, FILING, frozen=True):
         with socket.create_connection((host, int(port))) as connection:
             connection.sendall(request.replace(b"\r\n\r\n", b"\r\ncontent-length: 0\r\n\r\n"))
-            wait_until(lambda: attempts_in_flight(shared_cluster) > 0, "the request is on its way")
-        wait_until(lambda: attempts_in_flight(shared_cluster) == 0, "the attempt is given up")
+            wait_until(lambda: attempts_in_flight(shared_cluster) > 0, "an attempt is running")
+        wait_until(lambda: attempts_in_flight(shared_cluster) == 0, "the attempt has ended")
     send(shared_cluster, "POST", "/filing/r", "after-gone")
     assert "gone" not in shared_cluster.executions()
 
@@ -243,7 +245,7 @@
 
 
 def test_a_put_on_a_broken_reused_connection_is_not_sent_again(shared_cluster: Cluster) -> None:
-    """The client library repeats PUT and DELETE on its own unless it is told not to."""
+    """The HTTP client library retries PUT and DELETE by default."""
     for number in range(4):
         send(shared_cluster, "PUT", "/filing/r", f"warm-{number}")
     with faults(shared_cluster, FILING, cut_after=True):
@@ -252,13 +254,13 @@
     assert shared_cluster.executions()["put-once"] == 1
 
 
-def test_a_large_answer_is_streamed_whole(shared_cluster: Cluster) -> None:
+def test_large_response_is_streamed_completely(shared_cluster: Cluster) -> None:
     response = send(shared_cluster, "GET", "/filing/r?bytes=3000000")
     assert len(response.content) > 3_000_000
     assert json.loads(response.content)["method"] == "GET"
 
 
-def test_half_of_a_large_answer_never_looks_whole(shared_cluster: Cluster) -> None:
+def test_truncated_large_response_never_looks_complete(shared_cluster: Cluster) -> None:
     with (
         faults(shared_cluster, FILING, half_answer=True),
         pytest.raises(httpx.RemoteProtocolError),
@@ -266,7 +268,7 @@
         send(shared_cluster, "GET", "/filing/r?bytes=3000000")
 
 
-def test_metrics_and_health_are_answered(shared_cluster: Cluster) -> None:
+def test_metrics_and_health_are_served(shared_cluster: Cluster) -> None:
     admin = f"http://{shared_cluster.addresses[0].admin}"
     assert CLIENT.get(f"{admin}/healthz").status_code == 200
     assert CLIENT.get(f"{admin}/readyz").status_code == 200
--- a/tests/system/test_config_apply.py
+++ b/tests/system/test_config_apply.py
@@ -1,4 +1,4 @@
-"""The commands that change the configuration, on a site of their own."""
+"""The commands that change the configuration, on a separate site."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 from limedeck_lab.cluster import Cluster
 from limedeck_lab.processes import wait_until
 
-WANTED = """
+DESIRED_CONFIG = """
 [[services]]
 name = "parcels"
 ownership = "keyed"
@@ -48,24 +48,24 @@
         assert tester.status_code == 0, command
         assert "accepted as revision" in tester.io.fetch_output()
 
-    file = tmp_path / "wanted.toml"
-    file.write_text(WANTED.format(address=own_cluster.backends[0].address))
-    planned = limedeck(own_cluster, f"config diff {file}").io.fetch_output().splitlines()
-    assert "+ service added" in planned
-    assert "- service filing" in planned
-    assert "- backend parcels-01" in planned
-    assert not [line for line in planned if line.startswith("~")]
+    file = tmp_path / "desired.toml"
+    file.write_text(DESIRED_CONFIG.format(address=own_cluster.backends[0].address))
+    diff = limedeck(own_cluster, f"config diff {file}").io.fetch_output().splitlines()
+    assert "+ service added" in diff
+    assert "- service filing" in diff
+    assert "- backend parcels-01" in diff
+    assert not [line for line in diff if line.startswith("~")]
     applied = limedeck(own_cluster, f"config apply {file} --yes")
     assert applied.status_code == 0
     assert "accepted as revision" in applied.io.fetch_output()
-    again = limedeck(own_cluster, f"config apply {file} --yes")
-    assert "holds this already" in again.io.fetch_output()
+    repeated = limedeck(own_cluster, f"config apply {file} --yes")
+    assert "holds this already" in repeated.io.fetch_output()
 
     client = own_cluster.client()
     wait_until(
         lambda: (
             {item.owner for item in client.get_assignment("parcels").boundaries} == {"parcels-00"}
         ),
-        "the removed back ends' slices have moved",
+        "the slices of the removed back ends have moved",
     )
     client.close()
--- a/tests/system/test_crashing_requests.py
+++ b/tests/system/test_crashing_requests.py
@@ -1,12 +1,12 @@
-"""A request that ends each back end which runs it.
-
-What users saw: look-ups of one service failed for a second or two, again and again, and a tenth of
-them at a time. In order: one caller's request came to some node; the back end that ran it ended;
-the caller sent the same request again, to another node, under another id; the next back end ended.
-All other requests that these back ends were at work on were lost as well, and attempts at their
-closed ports used up the retries of others. The cause: nothing of a request was remembered beyond
-its answer, and nodes told each other nothing of requests. The evidence: back ends of one service
-ended every few seconds, in the middle of their work, never two at once and none twice.
+"""A request that crashes each back end which runs it.
+
+Guards against one request taking down a service: its caller sends it again, to another node and
+under another id, and the next back end crashes, so that look-ups of the service fail for a second
+or two, again and again, a tenth of them at a time. The other requests that these back ends were
+running are lost as well, and attempts at their closed ports use up the retry budget of others.
+This comes about if a node remembers nothing of a request beyond its response, and nodes exchange
+nothing about requests. The sign in the logs: back ends of one service end every few seconds while
+they run requests, never two at once and none twice.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
 NODES = 3
 PLAIN = 14
 RETRY_DELAY = 0.3
-"""Seconds between two tries of the caller whose request ends back ends."""
-KNOWN_WITHIN = 3.0
-"""Seconds after the third back end has ended until all nodes know the request."""
-WATCHED_FOR = 8.0
-"""Seconds from then on."""
-MOST_LATER_RUNS = 3
-MANY = 100_000
-"""Calls to the store that are refused: more than come in any of these tests."""
+"""Seconds between two attempts of the caller whose request crashes back ends."""
+QUARANTINE_SECONDS = 3.0
+"""Seconds after the third crash until all nodes have quarantined the request."""
+OBSERVATION_SECONDS = 8.0
+"""Seconds after that in which later crashes are counted."""
+MAX_LATER_CRASHES = 3
+STORE_FAULTS = 100_000
+"""Number of store calls to refuse: more than any of these tests makes."""
 QUARANTINE_TABLE = "limedeck_quarantine"
 PATH = "/read/x"
 KEYED_PATH = "/keyed/x"
 UNSAFE_PATH = "/plain/x"
-OTHER_CALLER = "127.0.0.7"
+OTHER_CALLER_ADDRESS = "127.0.0.7"
 
 
 @pytest.fixture
@@ -66,40 +66,42 @@
 
 @pytest.fixture
 def client() -> Iterator[httpx.Client]:
-    with httpx.Client(timeout=5.0) as opened:
-        yield opened
+    with httpx.Client(timeout=5.0) as open_client:
+        yield open_client
 
 
 @pytest.fixture
 def other_client() -> Iterator[httpx.Client]:
-    """Another caller, at an address of its own."""
-    with httpx.Client(transport=httpx.HTTPTransport(local_address=OTHER_CALLER)) as opened:
-        yield opened
+    """Another caller, with a different address."""
+    with httpx.Client(
+        transport=httpx.HTTPTransport(local_address=OTHER_CALLER_ADDRESS)
+    ) as open_client:
+        yield open_client
 
 
-def figure(node: NodeProcess, name: str) -> float:
-    """Read one of a node's own figures."""
+def metric(node: NodeProcess, name: str) -> float:
+    """Return the value of a metric of a node without labels; 0 if it is absent."""
     for line in httpx.get(f"http://{node.readiness}/metrics").text.splitlines():
         if line.startswith(f"{name} "):
             return float(line.rpartition(" ")[2])
     return 0.0
 
 
-def leads(node: NodeProcess) -> bool:
-    return figure(node, "limedeck_leads") == 1.0
+def is_leader(node: NodeProcess) -> bool:
+    return metric(node, "limedeck_leads") == 1.0
 
 
-def quarantined(node: NodeProcess) -> float:
-    return figure(node, "limedeck_quarantined_requests")
+def quarantined_requests(node: NodeProcess) -> float:
+    return metric(node, "limedeck_quarantined_requests")
 
 
-def repeat(
-    site: Site, client: httpx.Client, goes_on: Callable[[], bool], path: str = PATH
+def repeat_crashing_request(
+    site: Site, client: httpx.Client, should_continue: Callable[[], bool], path: str = PATH
 ) -> Counter[int]:
-    """Send the request that ends back ends to one node after the other; count its answers."""
+    """Send the request that crashes back ends to the nodes in turn; count its statuses."""
     statuses: Counter[int] = Counter()
     for node in itertools.cycle(site.nodes):
-        if not goes_on():
+        if not should_continue():
             return statuses
         if not node.process.is_running:
             continue
@@ -108,86 +110,93 @@
     raise AssertionError
 
 
-def become_known(site: Site, client: httpx.Client, path: str = PATH) -> None:
-    """Repeat the request until the time is over in which nodes may learn of it."""
+def repeat_until_quarantined(site: Site, client: httpx.Client, path: str = PATH) -> None:
+    """Repeat the request until all nodes must have quarantined it."""
 
-    def is_known() -> bool:
+    def must_be_quarantined() -> bool:
         if len(site.crashes) < 3:
             return False
-        return time.monotonic() > site.crashes[2].at + KNOWN_WITHIN
+        return time.monotonic() > site.crashes[2].at + QUARANTINE_SECONDS
 
-    repeat(site, client, lambda: not is_known(), path)
+    repeat_crashing_request(site, client, lambda: not must_be_quarantined(), path)
 
 
-def test_a_request_that_has_ended_three_back_ends_reaches_hardly_any_more(
+def test_request_that_crashed_three_back_ends_is_quarantined(
     site: Site, client: httpx.Client
 ) -> None:
-    become_known(site, client)
-    before = len(site.crashes)
-    until = time.monotonic() + WATCHED_FOR
-    repeat(site, client, lambda: time.monotonic() < until)
-    assert len(site.crashes) - before <= MOST_LATER_RUNS
-
-
-def test_one_that_ends_owner_after_owner_of_its_key_ends_hardly_any_more(
-    site: Site, client: httpx.Client
-) -> None:
-    """It waits for each new owner of its key, so some seconds lie between two ends."""
-    become_known(site, client, KEYED_PATH)
-    before = len(site.crashes)
-    until = time.monotonic() + WATCHED_FOR
-    repeat(site, client, lambda: time.monotonic() < until, KEYED_PATH)
-    assert len(site.crashes) - before <= MOST_LATER_RUNS
+    repeat_until_quarantined(site, client)
+    earlier_crashes = len(site.crashes)
+    end = time.monotonic() + OBSERVATION_SECONDS
+    repeat_crashing_request(site, client, lambda: time.monotonic() < end)
+    assert len(site.crashes) - earlier_crashes <= MAX_LATER_CRASHES
+
+
+def test_keyed_request_that_crashes_owners_is_quarantined(site: Site, client: httpx.Client) -> None:
+    """The request waits for each new owner of its key, so crashes are some seconds apart."""
+    repeat_until_quarantined(site, client, KEYED_PATH)
+    earlier_crashes = len(site.crashes)
+    end = time.monotonic() + OBSERVATION_SECONDS
+    repeat_crashing_request(site, client, lambda: time.monotonic() < end, KEYED_PATH)
+    assert len(site.crashes) - earlier_crashes <= MAX_LATER_CRASHES
     assert site.two_owners == []
 
 
-def test_one_that_may_run_only_once_is_known_by_its_callers_returns(
+def test_unsafe_request_is_quarantined_when_its_caller_repeats_it(
     site: Site, client: httpx.Client
 ) -> None:
-    """No node repeats it: each try of its caller ends one back end, and gets "outcome unknown"."""
-    become_known(site, client, UNSAFE_PATH)
-    before = len(site.crashes)
-    until = time.monotonic() + WATCHED_FOR
-    statuses = repeat(site, client, lambda: time.monotonic() < until, UNSAFE_PATH)
-    assert len(site.crashes) - before <= MOST_LATER_RUNS
+    """No node retries it: each attempt of its caller crashes one back end, outcome unknown."""
+    repeat_until_quarantined(site, client, UNSAFE_PATH)
+    earlier_crashes = len(site.crashes)
+    end = time.monotonic() + OBSERVATION_SECONDS
+    statuses = repeat_crashing_request(site, client, lambda: time.monotonic() < end, UNSAFE_PATH)
+    assert len(site.crashes) - earlier_crashes <= MAX_LATER_CRASHES
     assert set(statuses) == {503}
     assert max(Counter(request for request, _ in site.runs).values()) == 1
 
 
-def test_without_a_leader_and_a_store_the_nodes_that_are_left_know_it(
+def test_nodes_quarantine_a_request_without_leader_and_store(
     site: Site, client: httpx.Client
 ) -> None:
-    """Nobody can be elected: each node would lose three back ends of its own."""
-    site.store.faults.extend([Fault.REFUSE] * MANY)
-    next(node for node in site.nodes if leads(node)).process.signal(signal.SIGKILL)
-    wait_until(lambda: sum(node.process.is_running for node in site.nodes) == 2, "it has ended")
-    become_known(site, client)
-    before = len(site.crashes)
-    until = time.monotonic() + WATCHED_FOR
-    repeat(site, client, lambda: time.monotonic() < until)
-    assert len(site.crashes) - before <= MOST_LATER_RUNS
+    """No leader can be elected; unless nodes exchange crashes, each loses three back ends."""
+    site.store.faults.extend([Fault.REFUSE] * STORE_FAULTS)
+    next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
+    wait_until(
+        lambda: sum(node.process.is_running for node in site.nodes) == 2, "the leader has ended"
+    )
+    repeat_until_quarantined(site, client)
+    earlier_crashes = len(site.crashes)
+    end = time.monotonic() + OBSERVATION_SECONDS
+    repeat_crashing_request(site, client, lambda: time.monotonic() < end)
+    assert len(site.crashes) - earlier_crashes <= MAX_LATER_CRASHES
     site.store.faults.clear()
 
 
-def test_after_an_end_of_all_nodes_it_is_still_known(site: Site, client: httpx.Client) -> None:
-    become_known(site, client)
-    wait_until(lambda: (QUARANTINE_TABLE, "", "requests") in site.store.rows, "it is recorded")
+def test_quarantine_survives_a_restart_of_all_nodes(site: Site, client: httpx.Client) -> None:
+    repeat_until_quarantined(site, client)
+    wait_until(
+        lambda: (QUARANTINE_TABLE, "", "requests") in site.store.rows, "the quarantine is recorded"
+    )
     for node in site.nodes:
         node.process.signal(signal.SIGKILL)
         node.process.wait()
     site.restart_nodes()
     wait_until(lambda: all(node.is_ready() for node in site.nodes), "nodes are ready")
-    wait_until(lambda: all(quarantined(node) == 1.0 for node in site.nodes), "it is known")
-    before = len(site.crashes)
-    until = time.monotonic() + WATCHED_FOR
-    repeat(site, client, lambda: time.monotonic() < until)
-    assert len(site.crashes) == before
+    wait_until(
+        lambda: all(quarantined_requests(node) == 1.0 for node in site.nodes),
+        "all nodes have restored the quarantine",
+    )
+    earlier_crashes = len(site.crashes)
+    end = time.monotonic() + OBSERVATION_SECONDS
+    repeat_crashing_request(site, client, lambda: time.monotonic() < end)
+    assert len(site.crashes) == earlier_crashes
 
 
-def test_logs_and_figures_of_every_node_tell_of_it(site: Site, client: httpx.Client) -> None:
-    become_known(site, client)
+def test_every_node_reports_the_quarantine_in_log_and_metrics(
+    site: Site, client: httpx.Client
+) -> None:
+    repeat_until_quarantined(site, client)
     for node in site.nodes:
-        assert quarantined(node) == 1.0
+        assert quarantined_requests(node) == 1.0
         events = [json.loads(line) for line in node.process.log.read_text().splitlines()]
         (began,) = [item for item in events if item["event"] == "quarantine_began"]
         lost = [item for item in events if item.get("fingerprint") == began["fingerprint"]]
@@ -197,34 +206,34 @@
 def test_others_keep_their_back_ends_and_retries(
     site: Site, client: httpx.Client, other_client: httpx.Client
 ) -> None:
-    """Closed ports had used up the retries of others, and one back end after the other was gone."""
-    until = time.monotonic() + KNOWN_WITHIN + WATCHED_FOR
+    """Attempts at closed ports used up the retries of others as back ends crashed in turn."""
+    end = time.monotonic() + QUARANTINE_SECONDS + OBSERVATION_SECONDS
     statuses: Counter[int] = Counter()
 
-    def others_ask() -> bool:
+    def send_other_requests() -> bool:
         for number in range(10):
             node = site.nodes[number % NODES]
             statuses[site.post(other_client, node, f"/read/{number}", b"other")] += 1
-        return time.monotonic() < until
+        return time.monotonic() < end
 
-    repeat(site, client, others_ask)
+    repeat_crashing_request(site, client, send_other_requests)
     assert statuses[200] >= 0.95 * statuses.total()
 
 
-def test_nobody_else_is_refused_for_it(
+def test_quarantine_refuses_no_other_request(
     site: Site, client: httpx.Client, other_client: httpx.Client
 ) -> None:
-    """Neither who shares its path or its caller, nor what ran beside it."""
-    become_known(site, client)
-    until = time.monotonic() + WATCHED_FOR
+    """Requests with its path, its caller or both, and requests that ran with it, are served."""
+    repeat_until_quarantined(site, client)
+    end = time.monotonic() + OBSERVATION_SECONDS
     statuses: Counter[tuple[str, int]] = Counter()
 
-    def others_are_served() -> bool:
+    def send_other_requests() -> bool:
         for node in site.nodes:
             statuses["path", site.post(other_client, node, PATH, b"other")] += 1
             statuses["path and caller", site.post(client, node, PATH, b"other")] += 1
             statuses["caller", site.post(client, node, "/read/y", b"other")] += 1
-        return time.monotonic() < until
+        return time.monotonic() < end
 
-    repeat(site, client, others_are_served)
+    repeat_crashing_request(site, client, send_other_requests)
     assert {status for _, status in statuses} == {200}
--- a/tests/system/test_leaving_and_rest.py
+++ b/tests/system/test_leaving_and_rest.py
@@ -1,4 +1,4 @@
-"""Leaving announcements and back-off requests in back ends' answers, with real node processes."""
+"""Leaving announcements and back-off requests in back ends' responses, with node processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.soak import statement_judging
 from tests.system import platform_site
 from tests.system.paced_callers import THREADS, PacedCallers
-from tests.system.test_crashing_requests import leads
+from tests.system.test_crashing_requests import is_leader
 
 NODES = 5
 KEYED = 3
@@ -54,10 +54,10 @@
     return statement_judging.requests_during_backoff(site.upstreams, callers.sent)
 
 
-def test_a_back_end_that_says_in_answers_that_it_leaves_gets_no_later_request(
+def test_back_end_that_announces_leaving_gets_no_later_request(
     site: platform_site.Site,
 ) -> None:
-    """The store entry stays unchanged, so that only the answers announce it."""
+    """The store entry stays unchanged, so that only the responses announce it."""
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
         for upstream in unkeyed_upstreams(site)[:2]:
@@ -68,7 +68,7 @@
     assert callers.statuses[200] == callers.statuses.total()
 
 
-def test_an_owner_that_says_that_it_leaves_gets_no_later_request_while_the_store_is_away(
+def test_owner_that_announces_leaving_gets_no_later_request_without_store(
     site: platform_site.Site,
 ) -> None:
     owner = next(item for item in site.upstreams if item.holds(0))
@@ -83,14 +83,14 @@
     assert set(callers.statuses) <= {200, 503}
 
 
-def test_keys_of_an_owner_that_says_that_it_leaves_move_though_the_leader_is_killed(
+def test_keys_of_an_owner_that_announces_leaving_move_though_the_leader_is_killed(
     site: platform_site.Site,
 ) -> None:
     owner = next(item for item in site.upstreams if item.holds(0))
     with PacedCallers(site, "/keyed/x", RATE).calling() as callers:
         time.sleep(1.0)
         owner.leaving = True
-        next(node for node in site.nodes if leads(node)).process.signal(signal.SIGKILL)
+        next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
         time.sleep(OBSERVATION_SECONDS)
     assert late_requests(site, callers) == []
     assert site.two_owners == []
@@ -115,7 +115,7 @@
     assert callers.statuses[200] >= 0.99 * callers.statuses.total()
 
 
-def test_a_service_of_which_all_ask_for_rest_gets_it(site: platform_site.Site) -> None:
+def test_service_whose_back_ends_all_request_backoff_gets_it(site: platform_site.Site) -> None:
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
         for upstream in unkeyed_upstreams(site):
@@ -125,7 +125,7 @@
     assert set(callers.statuses) == {200, 503}
 
 
-def test_an_owner_that_asks_for_rest_gets_it_and_its_keys_move(site: platform_site.Site) -> None:
+def test_owner_that_requests_backoff_gets_it_and_its_keys_move(site: platform_site.Site) -> None:
     owner = next(item for item in site.upstreams if item.holds(0))
     with PacedCallers(site, "/keyed/x", RATE, KEYS).calling() as callers:
         time.sleep(1.0)
--- a/tests/system/test_limits.py
+++ b/tests/system/test_limits.py
@@ -1,13 +1,14 @@
-"""Back ends in need name how many requests a second they take: real nodes.
+"""Back ends that state a limit of requests per second in their responses, with node processes.
 
-What users saw: a back end that had named a limit of 4.3 requests a second got 54 in 4 s from nodes
-that had passed on its answers, as many as before it named any (31 are allowed), and so did a second
-one. It had asked for less because it could bear no more.
+Guards against a stated limit being ignored: a back end that had stated a limit of 4.3 requests per
+second got 54 in 4 s from nodes that had forwarded its responses, as many as before it stated one
+(31 are allowed), and so did a second one. It had stated the limit because it could take no more.
 
-Cause: no node read the header. The evidence: what the two got did not change when they named their
-limits, and here a back end of an unkeyed service, whose work others can take, was treated no other
-than an owner of keys (61 and 194 requests in 4 s, 30 allowed). Reading it at each node would not
-do: nodes see their own requests only, so the bound of all is kept by one that lends permits.
+This comes about if nodes do not read the header. The load of the two did not change when they
+stated their limits, and in these tests a back end of an unkeyed service, whose requests others can
+take, was treated like an owner of keys (61 and 194 requests in 4 s, 30 allowed). It is not enough
+that each node reads the header: a node sees its own requests only, so one node, which issues
+permits, enforces the rate bound for all.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
 from limedeck_lab.processes import wait_until
 from tests.system import platform_site
 from tests.system.paced_callers import THREADS, PacedCallers
-from tests.system.test_crashing_requests import leads
+from tests.system.test_crashing_requests import is_leader
 
 NODES = 5
 KEYED = 3
 PLAIN = 6
 RATE = 60.0
-"""Requests a second from all callers."""
-HEARD = 3.0
-"""Seconds after a back end first named its limit from which on it binds."""
-WINDOW = 4.0
-EXCESS = 1.5
-SLACK = 5
-"""In any window a back end gets at most so many times what its limit allows, and so many more."""
-WATCHED = 6.0
+"""Requests per second from all callers."""
+BINDING_SECONDS = 3.0
+"""Seconds after a back end first states its limit until the limit is enforced."""
+WINDOW_SECONDS = 4.0
+MAX_EXCESS_FACTOR = 1.5
+EXCESS_SLACK = 5
+"""Requests that a window may hold beyond `MAX_EXCESS_FACTOR` times what the limit allows."""
+OBSERVATION_SECONDS = 6.0
 
 
 @pytest.fixture
@@ -44,82 +45,82 @@
         yield running
 
 
-def assert_kept(upstream: platform_site.Upstream, since: float) -> None:
-    """Check a back end that has named one limit since a time."""
-    allowed = EXCESS * float(upstream.limit) * WINDOW + SLACK
-    assert upstream.most_arrivals(WINDOW, since + HEARD) <= allowed
+def assert_limit_kept(upstream: platform_site.Upstream, since: float) -> None:
+    """Check the load of a back end that has stated the same limit since then."""
+    allowed = MAX_EXCESS_FACTOR * float(upstream.limit) * WINDOW_SECONDS + EXCESS_SLACK
+    assert upstream.max_arrivals(WINDOW_SECONDS, since + BINDING_SECONDS) <= allowed
 
 
-def plain_ones(site: platform_site.Site) -> list[platform_site.Upstream]:
+def unkeyed_upstreams(site: platform_site.Site) -> list[platform_site.Upstream]:
     return [item for item in site.upstreams if not item.keyed]
 
 
-def test_a_back_end_gets_no_more_than_it_names_and_others_take_its_work(
+def test_limit_of_one_back_end_is_kept_and_others_take_its_requests(
     site: platform_site.Site,
 ) -> None:
-    limited = plain_ones(site)[0]
+    limited = unkeyed_upstreams(site)[0]
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
         limited.name_limit(b"4.2")
-        began = time.monotonic()
-        time.sleep(HEARD + WATCHED)
-    assert_kept(limited, began)
+        stated_at = time.monotonic()
+        time.sleep(BINDING_SECONDS + OBSERVATION_SECONDS)
+    assert_limit_kept(limited, stated_at)
     assert callers.statuses[200] == callers.statuses.total()
 
 
-def test_an_owner_of_keys_gets_no_more_though_the_leader_is_lost(site: platform_site.Site) -> None:
-    """Nobody else may run what is for its keys: they move, and the rest is refused, and truly.
+def test_limit_of_an_owner_is_kept_though_the_leader_is_killed(site: platform_site.Site) -> None:
+    """Only the owner may run requests for its keys: the keys move, and the rest is refused.
 
-    How many are refused depends on how soon the keys have moved, at times before the first one.
+    How many requests are refused depends on how soon the keys move, at times before any is.
     """
     owner = next(item for item in site.upstreams if item.holds(0))
     with PacedCallers(site, "/keyed/x", RATE).calling() as callers:
         time.sleep(1.0)
         owner.name_limit(b"4.2")
-        began = time.monotonic()
-        time.sleep(HEARD)
-        next(node for node in site.nodes if leads(node)).process.signal(signal.SIGKILL)
-        time.sleep(WATCHED)
-    assert_kept(owner, began)
+        stated_at = time.monotonic()
+        time.sleep(BINDING_SECONDS)
+        next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
+        time.sleep(OBSERVATION_SECONDS)
+    assert_limit_kept(owner, stated_at)
     assert site.two_owners == []
     assert set(callers.statuses) <= {0, 200, 503}
     assert callers.statuses[0] <= THREADS
 
 
-def test_a_service_of_which_all_are_limited_gets_what_they_take_together(
+def test_limits_of_all_back_ends_of_a_service_are_kept(
     site: platform_site.Site,
 ) -> None:
-    limited = plain_ones(site)
+    limited = unkeyed_upstreams(site)
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
         for upstream in limited:
             upstream.name_limit(b"3.2")
-        began = time.monotonic()
-        time.sleep(HEARD + WATCHED)
+        stated_at = time.monotonic()
+        time.sleep(BINDING_SECONDS + OBSERVATION_SECONDS)
     for upstream in limited:
-        assert_kept(upstream, began)
+        assert_limit_kept(upstream, stated_at)
     assert callers.statuses[200] > 0
     assert callers.statuses[503] > 0
 
 
-def test_a_back_end_that_needs_no_limit_any_more_takes_what_the_others_have_no_room_for(
+def test_back_end_that_withdraws_its_limit_takes_what_the_others_cannot(
     site: platform_site.Site,
 ) -> None:
-    """The others go on naming theirs, so that its room is needed."""
-    limited = plain_ones(site)
-    freed = limited[0]
+    """The others go on stating theirs, so that its capacity is needed."""
+    limited = unkeyed_upstreams(site)
+    unlimited = limited[0]
     with PacedCallers(site, "/plain/x", RATE).calling():
         for upstream in limited:
             upstream.name_limit(b"2")
-        time.sleep(HEARD)
+        time.sleep(BINDING_SECONDS)
         first = len(site.runs)
         time.sleep(2.0)
-        while_limited = [name for _, name in site.runs[first:]].count(freed.name)
-        freed.name_limit(b"")
+        while_limited = [name for _, name in site.runs[first:]].count(unlimited.name)
+        unlimited.name_limit(b"")
 
-        def takes_the_rest() -> bool:
+        def takes_most_requests() -> bool:
             latest = [name for _, name in site.runs[-int(RATE) :]]
-            return latest.count(freed.name) >= RATE / 2
+            return latest.count(unlimited.name) >= RATE / 2
 
-        wait_until(takes_the_rest, "the back end takes what the others have no room for")
-    assert while_limited <= EXCESS * 2.0 * 2.0 + SLACK
+        wait_until(takes_most_requests, "the back end takes what the others cannot")
+    assert while_limited <= MAX_EXCESS_FACTOR * 2.0 * 2.0 + EXCESS_SLACK
--- a/tests/system/test_node_questions.py
+++ b/tests/system/test_node_questions.py
@@ -1,4 +1,4 @@
-"""Operators' questions to real nodes, by the command line."""
+"""Operators' queries to node processes, by the command line."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 from limedeck.ownership.election import Suspicion
 from limedeck_lab.processes import wait_until
 from tests.system import platform_site
-from tests.system.test_crashing_requests import leads
+from tests.system.test_crashing_requests import is_leader
 
 NODES = 3
 KEYED = 3
 PLAIN = 2
-NAMED_LIMIT = 3.2
+STATED_LIMIT = 3.2
+"""Requests per second."""
 
 
 @pytest.fixture
@@ -36,67 +37,69 @@
     return tester
 
 
-def asked(node: platform_site.NodeProcess, command: str) -> Any:
+def query(node: platform_site.NodeProcess, command: str) -> Any:
     return json.loads(limedeck(node, f"{command} --output json").io.fetch_output())
 
 
-def test_all_nodes_name_the_leader_and_why_it_stood_also_the_next_one(
+def test_all_nodes_report_the_leader_and_why_it_was_elected(
     site: platform_site.Site,
 ) -> None:
-    leader = next(node for node in site.nodes if leads(node))
-    seen = [asked(node, "node status") for node in site.nodes]
-    assert len({item["leader"]["node"] for item in seen}) == 1
-    (why,) = {item["leader"]["why"] for item in seen}
+    leader = next(node for node in site.nodes if is_leader(node))
+    statuses = [query(node, "node status") for node in site.nodes]
+    assert len({item["leader"]["node"] for item in statuses}) == 1
+    (why,) = {item["leader"]["why"] for item in statuses}
     assert why in {item.value for item in Suspicion}
-    assert [item["node"] for item in seen if item["leads"]] == [seen[0]["leader"]["node"]]
-    term = seen[0]["leader"]["term"]
+    assert [item["node"] for item in statuses if item["leads"]] == [statuses[0]["leader"]["node"]]
+    term = statuses[0]["leader"]["term"]
     leader.process.signal(signal.SIGKILL)
     others = [node for node in site.nodes if node is not leader]
-    wait_until(lambda: any(leads(node) for node in others), "another one leads")
+    wait_until(lambda: any(is_leader(node) for node in others), "another node leads")
     wait_until(
-        lambda: all(asked(node, "node status")["leader"]["term"] > term for node in others),
-        "all know of it",
+        lambda: all(query(node, "node status")["leader"]["term"] > term for node in others),
+        "all nodes know the new leader",
     )
-    later = asked(others[0], "node status")["leader"]
+    later = query(others[0], "node status")["leader"]
     assert later["why"] in ("silent", "denied")
     shown = limedeck(others[0], "node status").io.fetch_output()
     assert f"leader {later['node']}, term {later['term']}" in shown
     assert "the one before was" in shown
 
 
-def test_a_key_is_located_where_its_requests_run(site: platform_site.Site) -> None:
+def test_key_is_located_at_the_back_end_that_runs_its_requests(site: platform_site.Site) -> None:
     node = site.nodes[0]
     with httpx.Client(timeout=4.0, trust_env=False) as client:
         assert site.send(client, node, "/keyed/x", 777).status_code == 200
-    ran_at = site.runs[-1][1]
-    found = asked(node, "node locate keyed 777")
-    assert found["owner"]["backend"] == ran_at
+    owner = site.runs[-1][1]
+    found = query(node, "node locate keyed 777")
+    assert found["owner"]["backend"] == owner
     assert found["range"]["first"] <= 777 <= found["range"]["last"]
     assert f"key 777 of keyed, in {found['range']['first']}" in (
         limedeck(node, "node locate keyed 777").io.fetch_output()
     )
-    owners = {item["owner"] for item in asked(node, "node assignment keyed")["ranges"]}
+    owners = {item["owner"] for item in query(node, "node assignment keyed")["ranges"]}
     assert owners == {item.name for item in site.upstreams if item.keyed}
     assert "33." in limedeck(node, "node assignment keyed").io.fetch_output()
 
 
-def test_a_back_end_in_need_is_shown_with_its_bound(site: platform_site.Site) -> None:
+def test_limited_back_end_is_shown_with_its_rate_bound(site: platform_site.Site) -> None:
     limited = next(item for item in site.upstreams if not item.keyed)
-    limited.name_limit(b"%g" % NAMED_LIMIT)
+    limited.name_limit(b"%g" % STATED_LIMIT)
     with httpx.Client(timeout=4.0, trust_env=False) as client:
         for _ in range(30):
             site.send(client, site.nodes[0], "/plain/x", 1)
 
     def shown(node: platform_site.NodeProcess) -> Any:
-        backends = asked(node, "node status")["backends"]
+        backends = query(node, "node status")["backends"]
         return next(item for item in backends if item["backend"] == limited.name)
 
     for node in site.nodes:
-        wait_until(lambda node=node: shown(node)["bound"] == NAMED_LIMIT, "told")  # type: ignore[misc]
+        wait_until(
+            lambda node=node: shown(node)["bound"] == STATED_LIMIT, "the node knows the limit"
+        )  # type: ignore[misc]
     assert shown(site.nodes[-1])["conditions"] == ["limited"]
 
 
-def test_questions_that_have_no_answer_have_their_exit_codes(site: platform_site.Site) -> None:
+def test_failing_queries_have_their_exit_codes(site: platform_site.Site) -> None:
     node = site.nodes[0]
     assert limedeck(node, "node locate plain 1").status_code == 3
     assert limedeck(node, "node locate keyed nothing").status_code == 3
--- a/tests/system/test_node_site.py
+++ b/tests/system/test_node_site.py
@@ -1,4 +1,4 @@
-"""Real nodes on a stand-in of the users' platform, from a request to its answer."""
+"""Node processes on a stand-in of the users' platform, from request to response."""
 
 from __future__ import annotations
 
@@ -29,33 +29,34 @@
 
 
 KEY_STEP = 40_503
-"""Keys in turn are this far apart, 0.618 of all: any number of them is spread over all owners. If
-they lay close together, their owner would be relieved of some of them, whatever a test does."""
+"""Distance of successive keys, 0.618 of the key space, which spreads any number over all owners.
+
+If keys lay close together, load balancing would move some of them to another owner in any test."""
 
 
 def send_many(site: Site, client: httpx.Client, count: int) -> Counter[int]:
-    """Send requests of both kinds to all nodes that run; check that each answer is its own."""
+    """Send requests of both services to all running nodes; check that responses match them."""
     statuses: Counter[int] = Counter()
     running = [node for node in site.nodes if node.process.is_running]
     for number in range(count):
         node = running[number % len(running)]
         path = "/keyed/x" if number % 2 else "/plain/x"
-        answer = site.send(client, node, path, number * KEY_STEP % 65_536)
-        statuses[answer.status_code] += 1
-        if answer.status_code == 200:
-            assert answer.content == f"{site.sent:016x}:".encode()
-            assert answer.headers["x-attempt-id"] == f"{site.sent:016x}"
+        response = site.send(client, node, path, number * KEY_STEP % 65_536)
+        statuses[response.status_code] += 1
+        if response.status_code == 200:
+            assert response.content == f"{site.sent:016x}:".encode()
+            assert response.headers["x-attempt-id"] == f"{site.sent:016x}"
     return statuses
 
 
 def leader_of(site: Site) -> ManagedProcess:
-    """Find the node whose own figures say that it leads."""
+    """Return the process of the node whose metrics report it as leader."""
     for node in site.nodes:
         if node.process.is_running:
-            figures = httpx.get(f"http://{node.readiness}/metrics").text
-            if "limedeck_leads 1.0" in figures:
+            metrics = httpx.get(f"http://{node.readiness}/metrics").text
+            if "limedeck_leads 1.0" in metrics:
                 return node.process
-    raise AssertionError("no node leads")
+    raise AssertionError("no node reports itself as leader")
 
 
 def test_requests_of_both_kinds_are_served_by_every_node(site: Site, client: httpx.Client) -> None:
@@ -66,7 +67,7 @@
     assert missing.status_code == 404
 
 
-def test_a_new_configuration_is_in_force_on_every_node(site: Site, client: httpx.Client) -> None:
+def test_new_configuration_is_in_force_on_every_node(site: Site, client: httpx.Client) -> None:
     site.configure(2, [*ROUTES, route("/new/", "plain")])
 
     def in_force() -> bool:
@@ -78,7 +79,7 @@
     assert in_force()
 
 
-def test_an_upstream_that_leaves_is_emptied_without_a_failed_request(
+def test_draining_upstream_loses_its_keys_without_a_failed_request(
     site: Site, client: httpx.Client
 ) -> None:
     leaving = site.upstreams[0]
@@ -86,25 +87,29 @@
     site.list_upstream(leaving)
     statuses: Counter[int] = Counter()
 
-    def emptied() -> bool:
+    def has_moved() -> bool:
         statuses.update(send_many(site, client, 12))
         return not leaving.held and site.everything_is_held()
 
-    wait_until(emptied, "the leaving upstream holds nothing")
+    wait_until(has_moved, "the keys of the draining upstream have moved")
     statuses.update(send_many(site, client, 30))
     assert set(statuses) == {200}
 
 
-def test_a_silent_upstreams_keys_get_another_owner(site: Site, client: httpx.Client) -> None:
+def test_keys_of_an_unresponsive_upstream_get_another_owner(
+    site: Site, client: httpx.Client
+) -> None:
     silent = site.upstreams[1]
     silent.silent = True
     others = [item for item in site.upstreams if item.keyed and item is not silent]
 
-    def taken_over() -> bool:
+    def have_moved() -> bool:
         return all(any(item.holds(key) for item in others) for key in range(0, 65_536, 1024))
 
-    wait_until(taken_over, "its keys are held by others")
-    wait_until(lambda: set(send_many(site, client, 20)) == {200}, "everything is served without it")
+    wait_until(have_moved, "its keys have other owners")
+    wait_until(
+        lambda: set(send_many(site, client, 20)) == {200}, "all requests are served without it"
+    )
 
 
 def test_a_killed_leader_is_replaced_and_no_key_moves(site: Site, client: httpx.Client) -> None:
@@ -114,7 +119,7 @@
     leader.signal(signal.SIGKILL)
     leader.wait()
     wait_until(lambda: leader_of_or_none(site) is not None, "another node leads")
-    wait_until(site.everything_is_held, "all keys are held")
+    wait_until(site.everything_is_held, "all keys have owners")
     assert set(send_many(site, client, 20)) == {200}
     assert {item.name: sorted(item.held) for item in site.upstreams if item.keyed} == before
 
@@ -126,7 +131,7 @@
         return None
 
 
-def test_a_planned_stop_cuts_off_no_request(site: Site, client: httpx.Client) -> None:
+def test_planned_stop_cuts_off_no_request(site: Site, client: httpx.Client) -> None:
     stopping = site.nodes[0]
     assert site.send(client, stopping, "/keyed/x", 7).status_code == 200
     stopping.process.signal(signal.SIGTERM)
@@ -134,41 +139,39 @@
     served = 0
     while stopping.process.is_running:
         try:
-            answer = site.send(client, stopping, "/keyed/x", 7)
+            response = site.send(client, stopping, "/keyed/x", 7)
         except httpx.ConnectError:
             break
-        assert answer.status_code in (200, 503)
-        assert answer.headers["connection"] == "close"
-        served += answer.status_code == 200
+        assert response.status_code in (200, 503)
+        assert response.headers["connection"] == "close"
+        served += response.status_code == 200
     assert stopping.process.wait() == 0
     assert served > 0
     wait_until(lambda: set(send_many(site, client, 20)) == {200}, "the others serve")
 
 
-def test_each_failed_request_can_be_found_in_the_log(
-    site: Site, client: httpx.Client, tmp_path: Path
-) -> None:
+def test_failed_request_is_logged(site: Site, client: httpx.Client, tmp_path: Path) -> None:
     for upstream in site.upstreams:
         if not upstream.keyed:
             upstream.silent = True
-    answer = site.send(client, site.nodes[0], "/plain/x", 1)
-    assert answer.status_code == 504
+    response = site.send(client, site.nodes[0], "/plain/x", 1)
+    assert response.status_code == 504
     request = f"{site.sent:016x}"
     lines = [json.loads(line) for line in log_lines(tmp_path, "node-0-0")]
-    story = [line for line in lines if line.get("request") == request]
-    assert [line["event"] for line in story] == ["attempt_failed", "given_up"]
-    assert story[0]["phase"] == "awaiting"
-    assert (story[1]["outcome"], story[1]["reason"]) == ("unknown", "timed-out")
+    events = [line for line in lines if line.get("request") == request]
+    assert [line["event"] for line in events] == ["attempt_failed", "given_up"]
+    assert events[0]["phase"] == "awaiting"
+    assert (events[1]["outcome"], events[1]["reason"]) == ("unknown", "timed-out")
 
 
 def log_lines(folder: Path, name: str) -> list[str]:
-    """The lines that a node wrote to its standard output."""
+    """Return the log lines that a node wrote to its standard output."""
     text = "".join(file.read_text() for file in folder.glob(f"{name}*") if file.suffix != ".toml")
     return [line for line in text.splitlines() if line.startswith("{")]
 
 
 @pytest.mark.parametrize("by_signal", [True, False], ids=["signal", "file-alone"])
-def test_changed_settings_are_taken_up_without_a_cut(
+def test_changed_settings_are_reloaded_without_a_failed_request(
     site: Site, client: httpx.Client, tmp_path: Path, by_signal: bool
 ) -> None:
     node = site.nodes[0]
@@ -183,25 +186,25 @@
         found = [line for line in lines if line["event"] == "reloaded"]
         return [(line["taken_up"], line["waiting_for_restart"]) for line in found]
 
-    wait_until(lambda: reloads() == [(["retries"], ["node"])], "the settings are taken up")
+    wait_until(lambda: reloads() == [(["retries"], ["node"])], "the settings are reloaded")
     assert node.is_ready()
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_during_a_planned_stop_cuts_nothing(
+def test_signal_during_a_planned_stop_cuts_off_no_request(
     site: Site, client: httpx.Client, number: signal.Signals
 ) -> None:
-    """Found on vetagenda-ne-grown scale-1: a SIGHUP after the SIGTERM ended the process at once."""
+    """A SIGHUP after the SIGTERM ended the process at once on vetagenda-ne-grown, scale-1."""
     node = site.nodes[0]
     node.process.signal(signal.SIGTERM)
     wait_until(lambda: not node.is_ready(), "the node is stopping")
     node.process.signal(number)
-    answer = site.send(client, node, "/plain/x", 1)
-    assert answer.status_code == 200
+    response = site.send(client, node, "/plain/x", 1)
+    assert response.status_code == 200
     assert node.process.wait() == 0
 
 
-def test_settings_that_cannot_be_used_end_with_one_line(tmp_path: Path, site: Site) -> None:
+def test_invalid_settings_are_rejected(tmp_path: Path, site: Site) -> None:
     from limedeck.errors import InvalidSetting
     from limedeck.node.settings import load_node_settings
 
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls and the command line against real nodes."""
+"""The operators' gRPC interface and the command line, with node processes."""
 
 import json
 from collections import Counter
@@ -23,11 +23,11 @@
 METHODS = "/limedeck.api.Operators/"
 
 
-def shared(name: str) -> Service:
+def shared_service(name: str) -> Service:
     return Service(name=name, sharing=SharingRule(ownership=OWNERSHIP_SHARED))
 
 
-def code_of(error: pytest.ExceptionInfo[OperatorCallFailed]) -> grpc.StatusCode:
+def status_code(error: pytest.ExceptionInfo[OperatorCallFailed]) -> grpc.StatusCode:
     return error.value.code
 
 
@@ -39,45 +39,45 @@
 
 def test_create_read_change_and_delete(shared_cluster: Cluster) -> None:
     client = shared_cluster.client()
-    created = client.create_service(shared("extra"))
+    created = client.create_service(shared_service("extra"))
     assert client.get_service("extra").revision == created.revision
-    changed = client.update_service(shared("extra"), created.revision)
+    changed = client.update_service(shared_service("extra"), created.revision)
     assert changed.revision > created.revision
     client.delete_service("extra", changed.revision)
     with pytest.raises(OperatorCallFailed) as caught:
         client.get_service("extra")
-    assert code_of(caught) is grpc.StatusCode.NOT_FOUND
+    assert status_code(caught) is grpc.StatusCode.NOT_FOUND
     client.close()
 
 
-def test_a_second_create_of_the_same_name_is_a_typed_conflict(shared_cluster: Cluster) -> None:
+def test_second_create_of_the_same_name_is_a_typed_conflict(shared_cluster: Cluster) -> None:
     client = shared_cluster.client()
     with pytest.raises(OperatorCallFailed) as caught:
-        client.create_service(shared("filing"))
-    assert code_of(caught) is grpc.StatusCode.ALREADY_EXISTS
+        client.create_service(shared_service("filing"))
+    assert status_code(caught) is grpc.StatusCode.ALREADY_EXISTS
     assert caught.value.detail.kind == api.ErrorDetail.KIND_CONFLICT
     assert caught.value.detail.current.service.name == "filing"
     client.close()
 
 
-def test_the_same_request_id_is_answered_with_the_same_revision(shared_cluster: Cluster) -> None:
+def test_repeated_request_id_returns_the_same_revision(shared_cluster: Cluster) -> None:
     client = shared_cluster.client()
-    first = client.create_service(shared("repeated"), "my-request")
+    first = client.create_service(shared_service("repeated"), "my-request")
     other = shared_cluster.client(1)
-    again = other.create_service(shared("repeated"), "my-request")
-    assert (again.revision, again.replayed) == (first.revision, True)
+    replayed_result = other.create_service(shared_service("repeated"), "my-request")
+    assert (replayed_result.revision, replayed_result.replayed) == (first.revision, True)
     client.delete_service("repeated", first.revision)
     client.close()
     other.close()
 
 
-def test_of_operators_at_different_nodes_one_wins(shared_cluster: Cluster) -> None:
+def test_one_of_concurrent_updates_at_different_nodes_succeeds(shared_cluster: Cluster) -> None:
     clients = [shared_cluster.client(index) for index in range(3)]
-    base = clients[0].create_service(shared("raced")).revision
+    base = clients[0].create_service(shared_service("raced")).revision
 
     def change(client: OperatorClient) -> grpc.StatusCode | None:
         try:
-            client.update_service(shared("raced"), base)
+            client.update_service(shared_service("raced"), base)
         except OperatorCallFailed as error:
             return error.code
         return None
@@ -95,7 +95,7 @@
 
 
 INVALID = [
-    ("name", lambda client: client.create_service(shared("Not Good"))),
+    ("name", lambda client: client.create_service(shared_service("Not Good"))),
     ("sharing.ownership", lambda client: client.create_service(Service(name="x"))),
     (
         "address",
@@ -103,16 +103,16 @@
             Backend(backend_id="x", service="filing", address="localhost:1")
         ),
     ),
-    ("header.request_id", lambda client: client.create_service(shared("x"), "r" * 200)),
+    ("header.request_id", lambda client: client.create_service(shared_service("x"), "r" * 200)),
 ]
 
 
 @pytest.mark.parametrize(("field", "call"), INVALID, ids=[item[0] for item in INVALID])
-def test_an_invalid_field_is_named(shared_cluster: Cluster, field: str, call: object) -> None:
+def test_error_names_the_invalid_field(shared_cluster: Cluster, field: str, call: object) -> None:
     client = shared_cluster.client()
     with pytest.raises(OperatorCallFailed) as caught:
         call(client)  # type: ignore[operator]
-    assert code_of(caught) is grpc.StatusCode.INVALID_ARGUMENT
+    assert status_code(caught) is grpc.StatusCode.INVALID_ARGUMENT
     assert caught.value.detail.field == field
     client.close()
 
@@ -135,7 +135,7 @@
     assert raw_call(shared_cluster, large) is grpc.StatusCode.RESOURCE_EXHAUSTED
 
 
-def test_unknown_fields_are_passed_over(shared_cluster: Cluster) -> None:
+def test_unknown_fields_are_ignored(shared_cluster: Cluster) -> None:
     unknown = b"\xf8\x3f\x01"
     with grpc.insecure_channel(shared_cluster.addresses[0].operator) as channel:
         method: Callable[..., bytes] = channel.unary_unary(f"{METHODS}GetStatus")
@@ -152,7 +152,7 @@
     assert "limedeck.api.Operators" in services
 
 
-def test_watching_shows_the_assignment_at_once(shared_cluster: Cluster) -> None:
+def test_watch_sends_the_current_assignment_first(shared_cluster: Cluster) -> None:
     client = shared_cluster.client()
     first = next(client.watch_assignment("parcels"))
     assert {item.owner for item in first.boundaries} == {f"parcels-{n:02d}" for n in range(3)}
@@ -177,7 +177,9 @@
 
 
 @pytest.mark.parametrize(("command", "text"), GOOD_COMMANDS)
-def test_commands_print_and_succeed(shared_cluster: Cluster, command: str, text: str) -> None:
+def test_commands_succeed_and_print_output(
+    shared_cluster: Cluster, command: str, text: str
+) -> None:
     tester = limedeck(shared_cluster, command)
     assert tester.status_code == 0
     output = tester.io.fetch_output()
@@ -213,7 +215,7 @@
     assert tester.status_code == code
 
 
-def test_an_unreachable_node_is_an_error_of_its_own() -> None:
+def test_unreachable_node_has_its_own_exit_code() -> None:
     tester = ApplicationTester(build_application())
     tester.execute("status --server 127.0.0.1:1")
     assert tester.status_code == 5
--- a/tests/system/test_planned_stops.py
+++ b/tests/system/test_planned_stops.py
@@ -1,8 +1,7 @@
-"""Planned stops of every node in turn, the leader among them, while callers go on.
+"""Planned stops of all nodes in turn, including the leader, while callers send requests.
 
-Nothing is refused and nothing is cut, for callers that behave as HTTP clients do: they use open
-connections again unless an answer asks them to close, and open new ones to nodes that say that they
-are ready.
+No request is refused or cut off for callers that behave as HTTP clients do: they reuse open
+connections unless a response asks them to close, and open new ones to nodes that report readiness.
 """
 
 from __future__ import annotations
@@ -26,13 +25,13 @@
 KEYED = 4
 PLAIN = 2
 CALLERS = 4
-PAUSE = 0.03
+REQUEST_INTERVAL = 0.03
 """Seconds between two requests of one caller."""
-LOOK_INTERVAL = 0.1
-"""Seconds between two looks at which nodes are ready."""
-PATIENCE = 4.0
-BETWEEN = 40
-"""Requests that are answered between two stops."""
+READINESS_CHECK_INTERVAL = 0.1
+"""Seconds between two checks of which nodes are ready."""
+REQUEST_TIMEOUT_SECONDS = 4.0
+REQUESTS_BETWEEN_STOPS = 40
+"""Requests that end between two stops."""
 
 
 @pytest.fixture
@@ -46,12 +45,12 @@
 
     Attributes
     ----------
-    endings
-        How many requests had which status, or which error.
+    outcomes
+        Number of requests by status of the response or name of the error.
     """
 
     def __init__(self, site: platform_site.Site) -> None:
-        self.endings: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
         self._site = site
         self._ready = list(site.nodes)
         self._ended = threading.Event()
@@ -59,9 +58,9 @@
 
     @contextmanager
     def calling(self) -> Iterator[None]:
-        """Call until the block ends."""
+        """Send requests until the block ends."""
         threads = [threading.Thread(target=self._call, args=(number,)) for number in range(CALLERS)]
-        threads.append(threading.Thread(target=self._look))
+        threads.append(threading.Thread(target=self._update_ready_nodes))
         for thread in threads:
             thread.start()
         try:
@@ -72,26 +71,26 @@
                 thread.join()
 
     def wait_for(self, more: int) -> None:
-        """Wait until so many more requests have ended."""
-        wanted = self.endings.total() + more
-        wait_until(lambda: self.endings.total() >= wanted, "requests go on")
+        """Wait until this many more requests have ended."""
+        wanted = self.outcomes.total() + more
+        wait_until(lambda: self.outcomes.total() >= wanted, "requests go on")
 
-    def _look(self) -> None:
-        while not self._ended.wait(LOOK_INTERVAL):
+    def _update_ready_nodes(self) -> None:
+        while not self._ended.wait(READINESS_CHECK_INTERVAL):
             self._ready = [node for node in self._site.nodes if node.is_ready()]
 
     def _call(self, number: int) -> None:
         source = random.Random(number)
-        with httpx.Client(timeout=PATIENCE, trust_env=False) as client:
+        with httpx.Client(timeout=REQUEST_TIMEOUT_SECONDS, trust_env=False) as client:
             for turn in itertools.count():
-                if self._ended.wait(PAUSE):
+                if self._ended.wait(REQUEST_INTERVAL):
                     return
                 node = source.choice(self._ready)
                 path = "/keyed/x" if turn % 2 else "/plain/x"
                 key = source.randrange(platform_site.KEYS)
-                ending = self._send(client, node, path, key)
+                outcome = self._send(client, node, path, key)
                 with self._lock:
-                    self.endings[ending] += 1
+                    self.outcomes[outcome] += 1
 
     def _send(
         self, client: httpx.Client, node: platform_site.NodeProcess, path: str, key: int
@@ -105,12 +104,12 @@
 def test_planned_stops_of_every_node_in_turn_cut_nothing(site: platform_site.Site) -> None:
     callers = Callers(site)
     with callers.calling():
-        callers.wait_for(BETWEEN)
+        callers.wait_for(REQUESTS_BETWEEN_STOPS)
         for number, node in enumerate(list(site.nodes)):
             node.process.signal(signal.SIGTERM)
             assert node.process.wait() == 0
-            following = site.start_life(number, 1)
-            wait_until(following.is_ready, "the node is back")
-            site.nodes[number] = following
-            callers.wait_for(BETWEEN)
-    assert callers.endings.keys() == {"200"}, callers.endings
+            restarted = site.launch_node(number, 1)
+            wait_until(restarted.is_ready, "the node is back")
+            site.nodes[number] = restarted
+            callers.wait_for(REQUESTS_BETWEEN_STOPS)
+    assert callers.outcomes.keys() == {"200"}, callers.outcomes
--- a/tests/system/test_zones_and_lives.py
+++ b/tests/system/test_zones_and_lives.py
@@ -1,7 +1,7 @@
-"""What is new of back ends, with the leader lost and the store away meanwhile: real nodes.
+"""Changes of back ends that nodes learn of just before leader and store fail, with node processes.
 
-Zones are evacuated, back ends come back cold, start again under their names, and other writers
-write entries. Each time the store refuses all calls a moment after, and the leader is killed.
+Zones are evacuated, back ends restart cold or under their old names, and other writers write
+entries. Each time, the store refuses all calls a moment later, and the leader is killed.
 """
 
 from __future__ import annotations
@@ -20,34 +20,41 @@
 from limedeck_lab.standins.row_store import Fault
 from tests.soak import faults
 from tests.system import platform_site
-from tests.system.test_crashing_requests import leads
+from tests.system.test_crashing_requests import is_leader
 
 NODES = 3
 PLAIN = 4
 KEYED = 4
-MANY = 100_000
-"""Calls to the store that are refused: more than come in any of these tests."""
-HEARD = 1.0
-"""Seconds in which all nodes hear of a row; an evacuation binds after five."""
-BOUND = 5.0
-COLD_RATE = 4.0
-WARMUP = 6.0
+STORE_FAULTS = 100_000
+"""Number of store calls to refuse: more than any of these tests makes."""
+PROPAGATION_SECONDS = 1.0
+"""Seconds until all nodes have received a changed row of the store."""
+EVACUATION_SECONDS = 5.0
+"""Seconds after an evacuation is requested until it is enforced."""
+COLD_RATE_PER_SECOND = 4.0
+WARMUP_SECONDS = 6.0
 
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[platform_site.Site]:
     with platform_site.running_site(tmp_path, keyed=KEYED, plain=PLAIN, nodes=NODES) as running:
-        running.cold_rate = COLD_RATE
+        running.cold_rate = COLD_RATE_PER_SECOND
         running.configure(2, platform_site.ROUTES)
         for number, upstream in enumerate(running.upstreams):
             upstream.zone = f"z{1 + number % 2}"
             running.list_upstream(upstream)
-        time.sleep(HEARD)
+        time.sleep(PROPAGATION_SECONDS)
         yield running
 
 
 class Callers:
-    """Callers of all nodes that run, for as long as a test wants."""
+    """Callers of all running nodes.
+
+    Attributes
+    ----------
+    statuses
+        Number of requests by status of the response.
+    """
 
     def __init__(self, site: platform_site.Site) -> None:
         self._site = site
@@ -55,7 +62,7 @@
         self.statuses: Counter[int] = Counter()
 
     def call_until(self, end: float) -> None:
-        """Call one node after the other."""
+        """Send requests to the nodes in turn until this time."""
         with httpx.Client(timeout=3.0) as client:
             for node in itertools.cycle(self._site.nodes):
                 if time.monotonic() > end:
@@ -67,83 +74,85 @@
                     self.statuses[response.status_code] += 1
 
 
-def lose_leader_and_store(site: platform_site.Site) -> None:
-    """Nobody can be elected, and nothing can be recorded, until `heal`."""
-    site.store.faults.extend([Fault.REFUSE] * MANY)
-    next(node for node in site.nodes if leads(node)).process.signal(signal.SIGKILL)
+def fail_leader_and_store(site: platform_site.Site) -> None:
+    """Kill the leader; no other can be elected, and nothing recorded, until `restore`."""
+    site.store.faults.extend([Fault.REFUSE] * STORE_FAULTS)
+    next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
 
 
-def heal(site: platform_site.Site) -> None:
-    """The store answers again, and the leader's machine is back."""
+def restore(site: platform_site.Site) -> None:
+    """Let the store respond again, and restart the ended node."""
     site.store.faults.clear()
-    wait_until(lambda: any(not node.process.is_running for node in site.nodes), "it has ended")
+    wait_until(
+        lambda: any(not node.process.is_running for node in site.nodes), "the leader has ended"
+    )
     site.restart_nodes()
     wait_until(lambda: all(node.is_ready() for node in site.nodes), "nodes are ready")
 
 
-def runs_in_zone(site: platform_site.Site, zone: str, first: int) -> list[str]:
+def runs_in_zone(site: platform_site.Site, zone: str, first_run: int) -> list[str]:
     names = {item.name for item in site.upstreams if item.zone == zone}
-    return [request for request, name in site.runs[first:] if name in names]
+    return [request for request, name in site.runs[first_run:] if name in names]
 
 
-def test_nothing_reaches_an_evacuated_zone_though_leader_and_store_are_lost(
+def test_evacuated_zone_gets_no_request_without_leader_and_store(
     site: platform_site.Site,
 ) -> None:
-    """Keys that could not move are refused: their owners are in the zone."""
+    """Requests for keys that could not move are refused: their owners are in the zone."""
     callers = Callers(site)
     began = time.monotonic()
     site.store.put("op", "evacuate/z1", b"{}")
-    callers.call_until(began + HEARD)
-    lose_leader_and_store(site)
-    callers.call_until(began + BOUND)
-    first = len(site.runs)
-    callers.call_until(began + BOUND + 3.0)
-    assert runs_in_zone(site, "z1", first) == []
-    heal(site)
+    callers.call_until(began + PROPAGATION_SECONDS)
+    fail_leader_and_store(site)
+    callers.call_until(began + EVACUATION_SECONDS)
+    first_run = len(site.runs)
+    callers.call_until(began + EVACUATION_SECONDS + 3.0)
+    assert runs_in_zone(site, "z1", first_run) == []
+    restore(site)
     callers.call_until(time.monotonic() + 2.0)
     served = Callers(site)
     served.call_until(time.monotonic() + 2.0)
     assert served.statuses[200] >= 0.95 * served.statuses.total()
-    assert runs_in_zone(site, "z1", first) == []
+    assert runs_in_zone(site, "z1", first_run) == []
     site.store.drop("op", "", "evacuate/z1")
     served.call_until(time.monotonic() + 3.0)
-    assert runs_in_zone(site, "z1", first) != []
+    assert runs_in_zone(site, "z1", first_run) != []
     assert site.two_owners == []
 
 
-def test_back_ends_that_come_back_cold_get_nothing_while_others_are_warm(
+def test_back_ends_that_restart_cold_get_no_request_while_others_are_warm(
     site: platform_site.Site,
 ) -> None:
-    """The nodes' own zone: its back ends end together, and are back, cold, before the losses."""
+    """All back ends of the nodes' own zone crash together and restart before the failures."""
     callers = Callers(site)
-    returned = [item for item in site.upstreams if item.zone == "z1"]
-    for upstream in returned:
-        site.end_and_start_cold(upstream, WARMUP)
-    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + HEARD)
-    lose_leader_and_store(site)
+    restarted = [item for item in site.upstreams if item.zone == "z1"]
+    for upstream in restarted:
+        site.restart_cold(upstream, WARMUP_SECONDS)
+    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + PROPAGATION_SECONDS)
+    fail_leader_and_store(site)
     callers.call_until(time.monotonic() + 2.0)
-    heal(site)
+    restore(site)
     callers.call_until(time.monotonic() + 2.0)
-    for upstream in returned:
-        heard = upstream.cold_until - WARMUP + HEARD
-        assert [at for at in upstream.cold_runs if at > heard] == []
-    time.sleep(WARMUP)
+    for upstream in restarted:
+        known_at = upstream.cold_until - WARMUP_SECONDS + PROPAGATION_SECONDS
+        assert [at for at in upstream.cold_runs if at > known_at] == []
+    time.sleep(WARMUP_SECONDS)
     served = Callers(site)
     served.call_until(time.monotonic() + 2.0)
     assert served.statuses[200] >= 0.95 * served.statuses.total()
     assert site.two_owners == []
 
 
-def test_a_back_end_that_starts_again_under_its_name_holds_nothing_of_before(
+def test_keys_are_reassigned_after_their_owner_restarts_under_its_name(
     site: platform_site.Site,
 ) -> None:
     callers = Callers(site)
     owner = next(item for item in site.upstreams if item.keyed and item.held)
-    site.end_and_start_cold(owner, 0.0)
+    site.restart_cold(owner, 0.0)
     callers.call_until(time.monotonic() + 0.5 * platform_site.DOWN_TIME)
-    lose_leader_and_store(site)
-    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + HEARD)
-    heal(site)
+    fail_leader_and_store(site)
+    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + PROPAGATION_SECONDS)
+    restore(site)
     wait_until(site.everything_is_held, "all keys are held")
     callers.call_until(time.monotonic() + 2.0)
     served = Callers(site)
@@ -152,19 +161,19 @@
     assert site.two_owners == []
 
 
-def test_entries_of_another_writer_change_nothing(site: platform_site.Site) -> None:
-    """Among them one that stands where a back end's own entry stood."""
+def test_entries_of_other_writers_change_nothing(site: platform_site.Site) -> None:
+    """One of the entries replaces that of a back end."""
     callers = Callers(site)
     for number, entry in enumerate(faults.STRANGE_ENTRIES):
         site.store.put("servers", f"{faults.STRANGE_PREFIX}{number}", entry)
     overwritten = next(item for item in site.upstreams if not item.keyed)
     site.store.put("servers", overwritten.name, faults.STRANGE_ENTRIES[0])
-    callers.call_until(time.monotonic() + HEARD)
-    lose_leader_and_store(site)
-    first = len(site.runs)
+    callers.call_until(time.monotonic() + PROPAGATION_SECONDS)
+    fail_leader_and_store(site)
+    first_run = len(site.runs)
     callers.call_until(time.monotonic() + 1.5)
-    assert all(name != overwritten.name for _, name in site.runs[first:])
-    heal(site)
+    assert all(name != overwritten.name for _, name in site.runs[first_run:])
+    restore(site)
     site.list_upstream(overwritten)
     callers.call_until(time.monotonic() + 2.0)
     served = Callers(site)
