--- a/tests/system/platform_site.py
+++ b/tests/system/platform_site.py
@@ -50,6 +50,8 @@
 class Upstream:
     """Stand-in of one back end, which records the requests and orders that it receives.
 
+    `Site.judge` compares the leases of all upstreams of a site.
+
     Parameters
     ----------
     held
@@ -374,7 +376,7 @@
     Parameters
     ----------
     callers, readiness
-        Addresses for callers' requests and for readiness, metrics and operators' questions.
+        Addresses for callers' requests and for readiness, metrics and operators' queries.
     settings
         The settings file.
     """
--- a/tests/system/test_crashing_requests.py
+++ b/tests/system/test_crashing_requests.py
@@ -80,7 +80,7 @@
 
 
 def metric(node: NodeProcess, name: str) -> float:
-    """Return the value of a metric of a node without labels; 0 if it is absent."""
+    """Return the value of a node's metric that has no labels; 0 if it is absent."""
     for line in httpx.get(f"http://{node.readiness}/metrics").text.splitlines():
         if line.startswith(f"{name} "):
             return float(line.rpartition(" ")[2])
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -100,7 +100,7 @@
     caller = Caller(site)
     caller.send_until("/keyed/x", 200)
     owner = next(item for item in site.upstreams if item.name == site.runs[-1][1])
-    site.end_and_start_cold(owner, 0.0)
+    site.restart_cold(owner, 0.0)
     request = caller.send_until("/keyed/x", 503)
     explanation = explain(request, tmp_path)
     assert f"route r/keyed/, key {KEY}, by owners of term " in explanation
--- a/tests/system/test_failures.py
+++ b/tests/system/test_failures.py
@@ -188,10 +188,8 @@
     for addresses in own_cluster.addresses:
         own_cluster.start_node(addresses)
     for index in range(len(own_cluster.addresses)):
-        restarted = own_cluster.client(index)
-        wait_until(
-            lambda restarted=restarted: leader_of(restarted) != "", "the group has a leader again"
-        )  # type: ignore[misc]
-        after = {b.start: b.owner for b in restarted.get_assignment(GROUP).boundaries}
+        node = own_cluster.client(index)
+        wait_until(lambda node=node: leader_of(node) != "", "the group has a leader again")  # type: ignore[misc]
+        after = {b.start: b.owner for b in node.get_assignment(GROUP).boundaries}
         assert after == before
-        restarted.close()
+        node.close()
--- a/tests/system/test_node_questions.py
+++ b/tests/system/test_node_questions.py
@@ -60,9 +60,9 @@
     )
     later = query(others[0], "node status")["leader"]
     assert later["why"] in ("silent", "denied")
-    shown = limedeck(others[0], "node status").io.fetch_output()
-    assert f"leader {later['node']}, term {later['term']}" in shown
-    assert "the one before was" in shown
+    output = limedeck(others[0], "node status").io.fetch_output()
+    assert f"leader {later['node']}, term {later['term']}" in output
+    assert "the one before was" in output
 
 
 def test_key_is_located_at_the_back_end_that_runs_its_requests(site: platform_site.Site) -> None:
@@ -88,15 +88,13 @@
         for _ in range(30):
             site.send(client, site.nodes[0], "/plain/x", 1)
 
-    def shown(node: platform_site.NodeProcess) -> Any:
+    def status_of(node: platform_site.NodeProcess) -> Any:
         backends = query(node, "node status")["backends"]
         return next(item for item in backends if item["backend"] == limited.name)
 
     for node in site.nodes:
-        wait_until(
-            lambda node=node: shown(node)["bound"] == STATED_LIMIT, "the node knows the limit"
-        )  # type: ignore[misc]
-    assert shown(site.nodes[-1])["conditions"] == ["limited"]
+        wait_until(lambda node=node: status_of(node)["bound"] == STATED_LIMIT, "limit is known")  # type: ignore[misc]
+    assert status_of(site.nodes[-1])["conditions"] == ["limited"]
 
 
 def test_failing_queries_have_their_exit_codes(site: platform_site.Site) -> None:
