--- a/tests/system/platform_site.py
+++ b/tests/system/platform_site.py
@@ -42,7 +42,7 @@
 CRASHING = b"crash"
 """A request whose body contains this crashes each upstream that runs it."""
 DOWN_TIME = 2.0
-"""Seconds until an upstream that has ended accepts connections again."""
+"""Seconds until an upstream that has crashed is back."""
 Application = Callable[[dict[str, Any], Any, Any], Awaitable[None]]
 
 
--- a/tests/system/test_limits.py
+++ b/tests/system/test_limits.py
@@ -69,7 +69,7 @@
 
 
 def test_limit_of_an_owner_is_kept_though_the_leader_is_killed(site: platform_site.Site) -> None:
-    """Only the owner may run requests for its keys: the keys move, and the rest is refused.
+    """Only the owner may run requests for its keys: they move, and the rest is refused as not run.
 
     How many requests are refused depends on how soon the keys move, at times before any is.
     """
--- a/tests/system/test_node_site.py
+++ b/tests/system/test_node_site.py
@@ -29,7 +29,7 @@
 
 
 KEY_STEP = 40_503
-"""Distance of successive keys, 0.618 of the key space, which spreads any number over all owners.
+"""Distance of successive keys: 0.618 of the key space, to spread any number over all owners.
 
 If keys lay close together, load balancing would move some of them to another owner in any test."""
 
