--- a/src/limedeck/config/__init__.py
+++ b/src/limedeck/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' objects: validation, the replica every node holds, and the settings file."""
+"""Operators' configuration objects, their store, each node's replica, and the settings file."""
--- a/src/limedeck/config/changes.py
+++ b/src/limedeck/config/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes as functions from the present configuration to the objects to write."""
+"""Operators' changes: functions that map the current configuration to the objects to write."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def create_service(service: Service) -> Planner:
-    """Create a service that must not exist."""
+    """Create a service; it must not exist yet."""
     complete = complete_service(service)
 
     def plan(state: ConfigState) -> list[ConfigObject]:
@@ -23,57 +23,63 @@
 
 
 def update_service(service: Service, base_revision: int) -> Planner:
-    """Replace a service; its ownership and number of control groups stay as they are."""
+    """Replace a service; its ownership and number of control groups cannot change."""
     complete = complete_service(service)
 
     def plan(state: ConfigState) -> list[ConfigObject]:
         key = ObjectKey("service", complete.name)
-        held = _require(state, key)
+        existing = _require_object(state, key)
         _require_revision(state, key, base_revision)
-        _require_fixed_fields(held.service, complete)
+        _require_fixed_fields(existing.service, complete)
         return [ConfigObject(service=complete)]
 
     return plan
 
 
 def delete_service(name: str, base_revision: int) -> Planner:
-    """Delete a service that has no back ends left."""
+    """Delete a service; it must have no back ends."""
 
     def plan(state: ConfigState) -> list[ConfigObject]:
         key = ObjectKey("service", name)
-        held = _require(state, key)
+        existing = _require_object(state, key)
         _require_revision(state, key, base_revision)
-        if _backends_of(state, name):
+        if _service_backends(state, name):
             raise InvalidObject("name", f"service {name} still has back ends")
-        return [ConfigObject(service=held.service, deleted=True)]
+        return [ConfigObject(service=existing.service, deleted=True)]
 
     return plan
 
 
 def add_backend(backend: Backend) -> Planner:
-    """Add a back end and place it in the control group that has the fewest."""
+    """Add a back end to the control group that has the fewest."""
     check_backend(backend)
 
     def plan(state: ConfigState) -> list[ConfigObject]:
-        service = _require(state, ObjectKey("service", backend.service)).service
+        service = _require_object(state, ObjectKey("service", backend.service)).service
         _require_revision(state, ObjectKey("backend", backend.backend_id), 0)
-        _require_free_address(state, backend)
-        return [ConfigObject(backend=_placed(backend, service, _backends_of(state, service.name)))]
+        _require_unused_address(state, backend)
+        return [
+            ConfigObject(
+                backend=_with_control_group(
+                    backend, service, _service_backends(state, service.name)
+                )
+            )
+        ]
 
     return plan
 
 
 def drain_backend(backend_id: str, base_revision: int) -> Planner:
-    """Have a back end give up its slices and get no new work."""
+    """Drain a back end: it gives up its slices and receives no new work."""
 
     def plan(state: ConfigState) -> list[ConfigObject]:
         key = ObjectKey("backend", backend_id)
-        held = _require(state, key)
+        existing = _require_object(state, key)
         _require_revision(state, key, base_revision)
-        if held.backend.draining:
+        if existing.backend.draining:
             return []
         drained = ConfigObject()
-        drained.CopyFrom(held)
+        drained.CopyFrom(existing)
         drained.backend.draining = True
         return [drained]
 
@@ -85,9 +91,9 @@
 
     def plan(state: ConfigState) -> list[ConfigObject]:
         key = ObjectKey("backend", backend_id)
-        held = _require(state, key)
+        existing = _require_object(state, key)
         _require_revision(state, key, base_revision)
-        return [ConfigObject(backend=held.backend, deleted=True)]
+        return [ConfigObject(backend=existing.backend, deleted=True)]
 
     return plan
 
@@ -95,7 +101,7 @@
 def apply_config(
     services: Sequence[Service], backends: Sequence[Backend], base_revision: int
 ) -> Planner:
-    """Make the configuration hold just these objects."""
+    """Replace the configuration with these objects."""
     complete = [complete_service(service) for service in services]
     for backend in backends:
         check_backend(backend)
@@ -106,97 +112,99 @@
     def plan(state: ConfigState) -> list[ConfigObject]:
         if base_revision not in (0, state.revision):
             raise RevisionConflict("the configuration", base_revision, state.revision)
-        return _difference(state, complete, backends)
+        return _plan_difference(state, complete, backends)
 
     return plan
 
 
-def _difference(
+def _plan_difference(
     state: ConfigState, services: Sequence[Service], backends: Sequence[Backend]
 ) -> list[ConfigObject]:
-    wanted = {ObjectKey("service", item.name): ConfigObject(service=item) for item in services}
+    desired = {ObjectKey("service", item.name): ConfigObject(service=item) for item in services}
     by_name = {service.name: service for service in services}
     placed: list[Backend] = []
     for backend in backends:
         service = by_name.get(backend.service)
         if service is None:
             raise InvalidObject("backends.service", f"no service is named {backend.service!r}")
-        held = state.objects.get(ObjectKey("backend", backend.backend_id))
-        if held is not None:
+        existing = state.objects.get(ObjectKey("backend", backend.backend_id))
+        if existing is not None:
             item = Backend()
             item.CopyFrom(backend)
-            item.control_group = held.backend.control_group
+            item.control_group = existing.backend.control_group
         else:
             same_service = [other for other in placed if other.service == backend.service]
-            item = _placed(backend, service, same_service)
+            item = _with_control_group(backend, service, same_service)
         placed.append(item)
-        wanted[ObjectKey("backend", backend.backend_id)] = ConfigObject(backend=item)
-    return _changed(state, wanted) + _deleted(state, wanted)
+        desired[ObjectKey("backend", backend.backend_id)] = ConfigObject(backend=item)
+    return _changed_objects(state, desired) + _tombstones(state, desired)
 
 
-def _changed(state: ConfigState, wanted: dict[ObjectKey, ConfigObject]) -> list[ConfigObject]:
+def _changed_objects(
+    state: ConfigState, desired: dict[ObjectKey, ConfigObject]
+) -> list[ConfigObject]:
     changed = []
-    for key, item in wanted.items():
-        held = state.objects.get(key)
-        if held is not None and key.kind == "service":
-            _require_fixed_fields(held.service, item.service)
-        if held is None or not _same_body(held, item):
+    for key, item in desired.items():
+        existing = state.objects.get(key)
+        if existing is not None and key.kind == "service":
+            _require_fixed_fields(existing.service, item.service)
+        if existing is None or not _same_body(existing, item):
             changed.append(item)
     return changed
 
 
-def _deleted(state: ConfigState, wanted: dict[ObjectKey, ConfigObject]) -> list[ConfigObject]:
+def _tombstones(state: ConfigState, desired: dict[ObjectKey, ConfigObject]) -> list[ConfigObject]:
     deleted = []
-    for key, held in state.objects.items():
-        if key not in wanted:
+    for key, existing in state.objects.items():
+        if key not in desired:
             tombstone = ConfigObject()
-            tombstone.CopyFrom(held)
+            tombstone.CopyFrom(existing)
             tombstone.deleted = True
             deleted.append(tombstone)
     return deleted
 
 
-def _same_body(held: ConfigObject, wanted: ConfigObject) -> bool:
-    return held.service == wanted.service and held.backend == wanted.backend
+def _same_body(existing: ConfigObject, desired: ConfigObject) -> bool:
+    return existing.service == desired.service and existing.backend == desired.backend
 
 
-def _require(state: ConfigState, key: ObjectKey) -> ConfigObject:
-    held = state.objects.get(key)
-    if held is None:
+def _require_object(state: ConfigState, key: ObjectKey) -> ConfigObject:
+    existing = state.objects.get(key)
+    if existing is None:
         raise ObjectNotFound(key.kind, key.name)
-    return held
+    return existing
 
 
 def _require_revision(state: ConfigState, key: ObjectKey, base_revision: int) -> None:
-    held = state.objects.get(key)
-    current = held.revision if held else 0
+    existing = state.objects.get(key)
+    current = existing.revision if existing else 0
     if current != base_revision:
         raise RevisionConflict(str(key), base_revision, current)
 
 
-def _require_fixed_fields(held: Service, wanted: Service) -> None:
+def _require_fixed_fields(existing: Service, desired: Service) -> None:
     checks: list[tuple[str, Callable[[Service], int]]] = [
         ("sharing.ownership", lambda service: service.sharing.ownership),
         ("sharing.control_groups", lambda service: service.sharing.control_groups),
     ]
     for field, read in checks:
-        if read(held) != read(wanted):
-            raise InvalidObject(field, "is fixed when the service is created")
+        if read(existing) != read(desired):
+            raise InvalidObject(field, "cannot be changed after the service is created")
 
 
-def _require_free_address(state: ConfigState, backend: Backend) -> None:
+def _require_unused_address(state: ConfigState, backend: Backend) -> None:
     for key, item in state.objects.items():
         if key.kind == "backend" and item.backend.address == backend.address:
-            raise InvalidObject("address", f"{backend.address} belongs to {key.name}")
+            raise InvalidObject("address", f"{backend.address} is the address of {key.name}")
 
 
 def _require_distinct(field: str, values: Sequence[str]) -> None:
     for value, count in Counter(values).items():
         if count > 1:
-            raise InvalidObject(field, f"{value} stands {count} times")
+            raise InvalidObject(field, f"{value} occurs {count} times")
 
 
-def _backends_of(state: ConfigState, service: str) -> list[Backend]:
+def _service_backends(state: ConfigState, service: str) -> list[Backend]:
     return [
         item.backend
         for key, item in state.objects.items()
@@ -204,7 +212,7 @@
     ]
 
 
-def _placed(backend: Backend, service: Service, others: Sequence[Backend]) -> Backend:
+def _with_control_group(backend: Backend, service: Service, others: Sequence[Backend]) -> Backend:
     placed = Backend()
     placed.CopyFrom(backend)
     if service.sharing.ownership != OWNERSHIP_KEYED:
--- a/src/limedeck/config/objects.py
+++ b/src/limedeck/config/objects.py
@@ -1,4 +1,4 @@
-"""Operators' objects and the rules that a valid one keeps."""
+"""Operators' configuration objects: defaults and validation."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 METHOD_PATTERN = re.compile(r"[A-Z]{1,16}")
 SAFE_METHODS = ("GET", "HEAD")
 DEFAULT_SLICES_PER_BACKEND = 50
-DEFAULT_SLOTS = 2
-DEFAULT_CONNECTIONS = 100
+DEFAULT_BACKEND_SLOTS = 2
+DEFAULT_BACKEND_CONNECTIONS = 100
 DEFAULT_DEADLINE_MS = 5_000
-DEFAULT_BODY_BYTES = 1 << 20
-LARGEST_SLICES_PER_BACKEND = 1_000
-LARGEST_CONTROL_GROUPS = 1_000
-LARGEST_DEADLINE_MS = 3_600_000
-LARGEST_BODY_BYTES = 1 << 32
-LARGEST_PORT = 65_535
+DEFAULT_MAX_BODY_BYTES = 1 << 20
+MAX_SLICES_PER_BACKEND = 1_000
+MAX_CONTROL_GROUPS = 1_000
+MAX_DEADLINE_MS = 3_600_000
+MAX_BODY_BYTES = 1 << 32
+MAX_PORT = 65_535
 
 
 @dataclass(frozen=True, order=True)
 class ObjectKey:
-    """Names an object among all of the configuration.
+    """Identifies an object in the configuration.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
 
 
 def object_key(item: ConfigObject) -> ObjectKey:
-    """Name an object.
+    """Return the key of an object.
 
     Raises
     ------
@@ -69,12 +69,12 @@
 
 
 def complete_service(service: Service) -> Service:
-    """Fill in what was left out, and check the rest.
+    """Return a copy of a service with defaults for unset fields, and validate it.
 
     Raises
     ------
     InvalidObject
-        A field cannot be accepted.
+        A field is invalid.
     """
     complete = Service()
     complete.CopyFrom(service)
@@ -85,7 +85,9 @@
         complete.repeatable_methods.extend(SAFE_METHODS)
     for method in complete.repeatable_methods:
         if not METHOD_PATTERN.fullmatch(method):
-            raise InvalidObject("repeatable_methods", f"{method!r} is not a method in upper case")
+            raise InvalidObject(
+                "repeatable_methods", f"{method!r} is not an HTTP method in upper case"
+            )
     return complete
 
 
@@ -100,27 +102,27 @@
     sharing.slices_per_backend = sharing.slices_per_backend or DEFAULT_SLICES_PER_BACKEND
     sharing.control_groups = sharing.control_groups or 1
     _require_at_most(
-        "sharing.slices_per_backend", sharing.slices_per_backend, LARGEST_SLICES_PER_BACKEND
+        "sharing.slices_per_backend", sharing.slices_per_backend, MAX_SLICES_PER_BACKEND
     )
-    _require_at_most("sharing.control_groups", sharing.control_groups, LARGEST_CONTROL_GROUPS)
+    _require_at_most("sharing.control_groups", sharing.control_groups, MAX_CONTROL_GROUPS)
 
 
 def _complete_limits(limits: ServiceLimits) -> None:
-    limits.backend_slots = limits.backend_slots or DEFAULT_SLOTS
-    limits.backend_connections = limits.backend_connections or DEFAULT_CONNECTIONS
+    limits.backend_slots = limits.backend_slots or DEFAULT_BACKEND_SLOTS
+    limits.backend_connections = limits.backend_connections or DEFAULT_BACKEND_CONNECTIONS
     limits.default_deadline_ms = limits.default_deadline_ms or DEFAULT_DEADLINE_MS
-    limits.maximum_body_bytes = limits.maximum_body_bytes or DEFAULT_BODY_BYTES
-    _require_at_most("limits.default_deadline_ms", limits.default_deadline_ms, LARGEST_DEADLINE_MS)
-    _require_at_most("limits.maximum_body_bytes", limits.maximum_body_bytes, LARGEST_BODY_BYTES)
+    limits.maximum_body_bytes = limits.maximum_body_bytes or DEFAULT_MAX_BODY_BYTES
+    _require_at_most("limits.default_deadline_ms", limits.default_deadline_ms, MAX_DEADLINE_MS)
+    _require_at_most("limits.maximum_body_bytes", limits.maximum_body_bytes, MAX_BODY_BYTES)
 
 
 def check_backend(backend: Backend) -> None:
-    """Check a back end.
+    """Validate a back end.
 
     Raises
     ------
     InvalidObject
-        A field cannot be accepted.
+        A field is invalid.
     """
     _require_name("backend_id", backend.backend_id)
     _require_name("service", backend.service)
@@ -128,24 +130,24 @@
 
 
 def require_address(field: str, address: str) -> None:
-    """Check that an address is an IP number and a port.
+    """Check that an address consists of an IP address and a port.
 
     Raises
     ------
     InvalidObject
-        It is not.
+        It does not.
     """
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise InvalidObject(field, f"{address!r} must be an IP number and a port") from None
-    if not port.isascii() or not port.isdigit() or not 0 < int(port) <= LARGEST_PORT:
-        raise InvalidObject(field, f"{address!r} has no port from 1 to {LARGEST_PORT}")
+        raise InvalidObject(field, f"{address!r} must be an IP address and a port") from None
+    if not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise InvalidObject(field, f"{address!r} has no port from 1 to {MAX_PORT}")
 
 
 def group_of_backend(service: Service, backend: Backend) -> GroupId:
-    """Control group that grants a back end of a keyed service its slices."""
+    """Return the control group that grants slices to a back end of a keyed service."""
     return keyed_group(service.name, backend.control_group, service.sharing.control_groups)
 
 
@@ -156,6 +158,6 @@
         )
 
 
-def _require_at_most(field: str, value: int, largest: int) -> None:
-    if value > largest:
-        raise InvalidObject(field, f"{value} is above {largest}")
+def _require_at_most(field: str, value: int, maximum: int) -> None:
+    if value > maximum:
+        raise InvalidObject(field, f"{value} exceeds the maximum of {maximum}")
--- a/src/limedeck/config/replica.py
+++ b/src/limedeck/config/replica.py
@@ -1,4 +1,4 @@
-"""The configuration as a node holds it: it only ever moves forward."""
+"""A node's copy of the configuration; its revision never decreases."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class UpdateOutcome(enum.Enum):
-    """What became of an update.
+    """Result of applying an update.
 
     APPLIED
-        It is in force.
+        The update is in force.
     STALE
-        What is held is as new or newer.
+        The replica is at the same or a newer revision.
     GAP
-        It applies to a version that is not held; a whole one is needed.
+        The update applies to a revision other than the replica's; a snapshot is needed.
     """
 
     APPLIED = "applied"
@@ -27,7 +27,7 @@
 
 
 class ConfigReplica:
-    """All objects at one revision."""
+    """All configuration objects at one revision."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -35,7 +35,13 @@
         self._backends_by_service: dict[str, list[Backend]] = {}
 
     def apply(self, update: ConfigUpdate) -> UpdateOutcome:
-        """Bring an update into force unless it is older than what is held."""
+        """Apply an update unless it is stale or leaves a gap.
+
+        Raises
+        ------
+        InvariantViolation
+            An object is newer than the update, or older than the replica's.
+        """
         if update.revision <= self.revision:
             return UpdateOutcome.STALE
         if update.previous_revision not in (0, self.revision):
@@ -49,30 +55,30 @@
         return UpdateOutcome.APPLIED
 
     def whole(self) -> ConfigUpdate:
-        """Write everything as one update."""
+        """Return a snapshot as an update."""
         return ConfigUpdate(revision=self.revision, objects=self.objects.values())
 
     def service(self, name: str) -> Service | None:
-        """Return a service by name."""
+        """Return a service by name, or None."""
         item = self.objects.get(ObjectKey("service", name))
         return item.service if item else None
 
     def services(self) -> list[Service]:
-        """Every service, by name."""
+        """Return all services, sorted by name."""
         items = [item for item in self.objects.values() if item.WhichOneof("body") == "service"]
         return sorted((item.service for item in items), key=lambda service: service.name)
 
     def keyed_services(self) -> list[Service]:
-        """Every service whose keys have owners."""
+        """Return all services whose keys have owners, sorted by name."""
         return [item for item in self.services() if item.sharing.ownership == OWNERSHIP_KEYED]
 
     def backend(self, backend_id: str) -> Backend | None:
-        """Return a back end by id."""
+        """Return a back end by id, or None."""
         item = self.objects.get(ObjectKey("backend", backend_id))
         return item.backend if item else None
 
     def backends_of(self, service: str) -> list[Backend]:
-        """Back ends of a service, by id."""
+        """Return the back ends of a service, sorted by id."""
         return self._backends_by_service.get(service, [])
 
     def _put(self, item: ConfigObject, revision: int) -> None:
@@ -81,10 +87,10 @@
             raise InvariantViolation(
                 "objects-not-above-revision", f"{key} at {item.revision} in revision {revision}"
             )
-        held = self.objects.get(key)
-        if held is not None and held.revision > item.revision:
+        current = self.objects.get(key)
+        if current is not None and current.revision > item.revision:
             raise InvariantViolation(
-                "objects-never-revert", f"{key} from {held.revision} to {item.revision}"
+                "objects-never-revert", f"{key} from {current.revision} to {item.revision}"
             )
         if item.deleted:
             self.objects.pop(key, None)
@@ -93,10 +99,10 @@
 
     def _index_backends(self) -> None:
         self._backends_by_service = {}
-        for backend in _backends(self.objects.values()):
+        for backend in _sorted_backends(self.objects.values()):
             self._backends_by_service.setdefault(backend.service, []).append(backend)
 
 
-def _backends(items: Iterable[ConfigObject]) -> list[Backend]:
+def _sorted_backends(items: Iterable[ConfigObject]) -> list[Backend]:
     found = [item.backend for item in items if item.WhichOneof("body") == "backend"]
     return sorted(found, key=lambda backend: backend.backend_id)
--- a/src/limedeck/config/settings.py
+++ b/src/limedeck/config/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: a TOML file, checked whole before anything starts."""
+"""The daemon's settings: a TOML file that is validated as a whole before anything starts."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from limedeck.errors import InvalidObject, InvalidSetting, SettingsError
 from limedeck.routing.request import RoutingLimits
 
-NAME = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"
+NAME_PATTERN = r"^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$"
 
 
-def _address(value: str) -> str:
+def _check_address(value: str) -> str:
     try:
         require_address("address", value)
     except InvalidObject as error:
@@ -25,7 +25,7 @@
     return value
 
 
-Address = Annotated[str, AfterValidator(_address)]
+Address = Annotated[str, AfterValidator(_check_address)]
 Url = Annotated[str, Field(pattern=r"^https?://[^/]+$")]
 
 
@@ -35,22 +35,22 @@
     known = {field.name for field in dataclasses.fields(defaults)}  # type: ignore[arg-type]
     for name, value in overrides.items():
         if name not in known:
-            raise ValueError(f"{table}.{name} is not known; one of {', '.join(sorted(known))}")
+            raise ValueError(f"{table}.{name} is unknown, use one of {', '.join(sorted(known))}")
         if value <= 0:
-            raise ValueError(f"{table}.{name} must be above zero")
+            raise ValueError(f"{table}.{name} must be greater than zero")
 
 
 class Section(BaseModel):
-    """A table of the settings file; keys it does not know are refused."""
+    """A table of the settings file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class NodeSettings(Section):
-    """Who this node is and where it listens."""
+    """Identity and addresses of this node."""
 
-    id: str = Field(pattern=NAME)
-    zone: str = Field(pattern=NAME)
+    id: str = Field(pattern=NAME_PATTERN)
+    zone: str = Field(pattern=NAME_PATTERN)
     peer_address: Address
     peer_listen_address: Address | None = None
     caller_address: Address
@@ -60,7 +60,7 @@
 
 
 class PlatformSettings(Section):
-    """Where the platform's services answer."""
+    """URLs of the platform's services, and the timeout of calls to them."""
 
     table_url: Url
     object_store_url: Url
@@ -69,59 +69,59 @@
 
 
 class LogSettings(Section):
-    """How events are logged."""
+    """Format and level of the log."""
 
     format: Literal["json", "console"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class StopSettings(Section):
-    """How a planned stop goes."""
+    """Durations of the phases of a planned stop."""
 
     notice_seconds: float = Field(default=1.0, ge=0, le=60)
     drain_seconds: float = Field(default=30.0, gt=0, le=600)
 
 
 class ControlSettings(Section):
-    """Overrides of `ControlTiming` and `ControlLimits`, by the names of their fields."""
+    """Overrides of `ControlTiming` and `ControlLimits`, by field name."""
 
     timing: dict[str, float] = {}
     limits: dict[str, int] = {}
 
     @model_validator(mode="after")
-    def _known_names(self) -> ControlSettings:
+    def _check_values(self) -> ControlSettings:
         _check_overrides("timing", self.timing, ControlTiming())
         _check_overrides("limits", self.limits, ControlLimits())
-        lease = self.to_timing()
-        if lease.backend_lease <= 2 * lease.lease_renewal_interval:
-            raise ValueError("timing.backend_lease must be above two lease_renewal_intervals")
-        if lease.election_timeout <= 2 * lease.heartbeat_interval:
-            raise ValueError("timing.election_timeout must be above two heartbeat_intervals")
+        effective = self.to_timing()
+        if effective.backend_lease <= 2 * effective.lease_renewal_interval:
+            raise ValueError("timing.backend_lease must exceed twice timing.lease_renewal_interval")
+        if effective.election_timeout <= 2 * effective.heartbeat_interval:
+            raise ValueError("timing.election_timeout must exceed twice timing.heartbeat_interval")
         return self
 
     def to_timing(self) -> ControlTiming:
-        """Timing with the overrides."""
+        """Return the timing with the overrides applied."""
         return dataclasses.replace(ControlTiming(), **self.timing)
 
     def to_limits(self) -> ControlLimits:
-        """Limits with the overrides."""
+        """Return the limits with the overrides applied."""
         return dataclasses.replace(ControlLimits(), **self.limits)
 
 
 class RoutingSettings(Section):
-    """Bounds of this node's router."""
+    """HTTP client and limits of this node's router."""
 
     backend_client: Literal["aiohttp", "httpx"] = "aiohttp"
     longest_wait_seconds: float = Field(default=4.0, gt=0, le=600)
     waiting_requests: int = Field(default=1_000, ge=1, le=1_000_000)
 
     def to_limits(self) -> RoutingLimits:
-        """The bounds as the router takes them."""
+        """Return the router's limits."""
         return RoutingLimits(self.longest_wait_seconds, self.waiting_requests)
 
 
 class DaemonSettings(BaseSettings):
-    """Everything a daemon is told before it starts."""
+    """All settings of a daemon."""
 
     model_config = SettingsConfigDict(extra="forbid", frozen=True)
 
@@ -141,24 +141,24 @@
         dotenv_settings: PydanticBaseSettingsSource,
         file_secret_settings: PydanticBaseSettingsSource,
     ) -> tuple[PydanticBaseSettingsSource, ...]:
-        """Take settings from the file and the flags only, never from the environment."""
+        """Use only values from the file and the flags, never from the environment."""
         return (init_settings,)
 
 
 def load_settings(file: str, overrides: dict[str, str]) -> DaemonSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     file
         Path of a TOML file.
     overrides
-        Values of the ``[node]`` table that flags give.
+        Values for the ``[node]`` table that were given as flags.
 
     Raises
     ------
     SettingsError
-        Or an exception group of them, one for each wrong key.
+        The file is invalid; an exception group with one error per key if several are.
     """
     content = read_toml(file)
     node = content.setdefault("node", {})
@@ -167,24 +167,24 @@
     try:
         return DaemonSettings(**content)
     except ValidationError as error:
-        problems = [_invalid(file, dict(item)) for item in error.errors()]
+        problems = [_invalid_setting(file, dict(item)) for item in error.errors()]
         if len(problems) == 1:
             raise problems[0] from None
-        raise ExceptionGroup("settings cannot be used", problems) from None
+        raise ExceptionGroup("invalid settings", problems) from None
 
 
-def _invalid(file: str, item: dict[str, Any]) -> SettingsError:
+def _invalid_setting(file: str, item: dict[str, Any]) -> SettingsError:
     key = ".".join(str(part) for part in item["loc"]) or WHOLE_FILE
     kind = item["type"]
     if kind == "missing":
         return InvalidSetting(file, key, "is missing", "a value")
     if kind == "extra_forbidden":
-        return InvalidSetting(file, key, "is not a known key", "a key of the documentation")
-    problem = f"{item['input']!r} cannot be used"
-    return InvalidSetting(file, key, problem, _expected(item))
+        return InvalidSetting(file, key, "is not a known key", "a documented key")
+    problem = f"{item['input']!r} is invalid"
+    return InvalidSetting(file, key, problem, _expected_text(item))
 
 
-def _expected(item: dict[str, Any]) -> str:
+def _expected_text(item: dict[str, Any]) -> str:
     message = str(item["msg"])
     for prefix in ("Input should be ", "Value error, ", "String should "):
         message = message.removeprefix(prefix)
--- a/src/limedeck/config/store.py
+++ b/src/limedeck/config/store.py
@@ -1,9 +1,10 @@
-"""The configuration in the platform's table: accepted once, settled when an answer is lost.
+"""The configuration in the platform's table, changed exactly once per request id.
 
 Rows: ``config/head`` holds the configuration's revision; ``config/object/...`` one object each;
-``config/change/R`` what revision R changed; ``config/request/ID`` the revision that a request id
-became, or that it is void. Every change writes all of these in one transaction that is
-conditional on the head's row and on the request's row being absent.
+``config/change/R`` the objects that revision R changed; ``config/request/ID`` the revision that the
+request with this id created, or a marker that the request is void. Each change writes all of these
+in one transaction, on the conditions that the head's row is unchanged and the request's row absent.
+If the response to the transaction is lost, the request's row tells whether it took effect.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 OBJECT_PREFIX = "config/object/"
 CHANGE_PREFIX = "config/change/"
 REQUEST_PREFIX = "config/request/"
-LONGEST_DELTA = 64
-"""A reader further behind than this many revisions reads the whole configuration."""
-DELTAS_KEPT = 4 * LONGEST_DELTA
-ATTEMPTS = 8
-SETTLE_ATTEMPTS = 5
-SETTLE_PAUSE = 0.2
-RETRY_AFTER = 2.0
-LONGEST_REQUEST_ID = 128
+MAX_DELTA_REVISIONS = 64
+"""Readers that are more revisions behind read a snapshot instead of the changes."""
+RETAINED_CHANGES = 4 * MAX_DELTA_REVISIONS
+MAX_CHANGE_ATTEMPTS = 8
+MAX_RESOLVE_ATTEMPTS = 5
+RESOLVE_RETRY_DELAY_SECONDS = 0.2
+RETRY_AFTER_SECONDS = 2.0
+MAX_REQUEST_ID_LENGTH = 128
 VOID = b"void"
-"""Value of a request row that rules out that the request is ever accepted."""
+"""Value of a request's row that prevents the request from ever being accepted."""
 
 
 @dataclass(frozen=True)
 class ConfigState:
-    """The whole configuration as the table holds it."""
+    """A snapshot of the configuration in the table."""
 
     revision: int
     objects: dict[ObjectKey, ConfigObject]
@@ -53,12 +54,12 @@
 
 @dataclass(frozen=True)
 class AcceptedChange:
-    """A change that is committed.
+    """A change that was accepted.
 
     Parameters
     ----------
     update
-        What it changed; None when an earlier call had it accepted.
+        The changed objects; None if nothing had to change or a previous call was accepted.
     """
 
     reply: ChangeReply
@@ -66,7 +67,7 @@
 
 
 Planner = Callable[[ConfigState], Sequence[ConfigObject]]
-"""Given the configuration, returns the objects to write or raises a `ConfigError`."""
+"""Returns the objects to write, given the current configuration, or raises a `ConfigError`."""
 
 
 class ConfigStore:
@@ -76,89 +77,94 @@
         self._table = table
 
     async def poll(self, known_revision: int) -> ConfigUpdate | None:
-        """Read what is newer than a revision, or None when nothing is."""
+        """Return the changes since a revision, or a snapshot; None if there are none."""
         rows = await self._table.read([HEAD_KEY])
         head = _head_revision(rows.get(HEAD_KEY))
         if head <= known_revision:
             return None
-        if known_revision > 0 and head - known_revision <= LONGEST_DELTA:
+        if known_revision > 0 and head - known_revision <= MAX_DELTA_REVISIONS:
             return await self._read_delta(known_revision, head)
         state, _ = await self._read_state()
         return ConfigUpdate(revision=state.revision, objects=state.objects.values())
 
     async def change(self, request_id: str, plan: Planner) -> AcceptedChange:
-        """Have a change accepted exactly once.
+        """Apply a change exactly once.
 
         Parameters
         ----------
         request_id
-            Identifies the change; calling again with the same id changes nothing more.
+            Identifies the change; once it is accepted, calls with the same id change nothing.
         plan
-            Called with the present configuration, again after every lost race.
+            Called with the current configuration, and again if a concurrent change came first.
 
         Raises
         ------
         ConfigError
-            What `plan` raises; `ChangeNotAccepted` when the store cannot be reached or asked in
-            time; `ChangeOutcomeUnknown` when it cannot be settled whether the store took it.
+            Whatever `plan` raises; `ChangeNotAccepted` if the store is unreachable, limits the
+            rate of calls, or too many changes are concurrent; `ChangeOutcomeUnknown` if it cannot
+            be determined whether the change took effect.
         """
-        if not 0 < len(request_id) <= LONGEST_REQUEST_ID:
+        if not 0 < len(request_id) <= MAX_REQUEST_ID_LENGTH:
             raise InvalidObject(
-                "header.request_id", f"must be 1 to {LONGEST_REQUEST_ID} characters"
+                "header.request_id", f"must have 1 to {MAX_REQUEST_ID_LENGTH} characters"
             )
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_CHANGE_ATTEMPTS):
             try:
                 accepted = await self._attempt(request_id, plan)
             except PlatformRateLimited as error:
                 raise ChangeNotAccepted("the store is rate-limited", error.retry_after) from error
             except PlatformError as error:
-                raise ChangeNotAccepted(str(error), RETRY_AFTER) from error
+                raise ChangeNotAccepted(str(error), RETRY_AFTER_SECONDS) from error
             if accepted is not None:
                 return accepted
-        raise ChangeNotAccepted("too many changes at the same time", RETRY_AFTER)
+        raise ChangeNotAccepted("too many concurrent changes", RETRY_AFTER_SECONDS)
 
     async def _attempt(self, request_id: str, plan: Planner) -> AcceptedChange | None:
-        earlier = await self._earlier_reply(request_id)
-        if earlier is not None:
-            return AcceptedChange(earlier, None)
+        previous = await self._previous_reply(request_id)
+        if previous is not None:
+            return AcceptedChange(previous, None)
         state, head_row = await self._read_state()
         objects = list(plan(state))
         if not objects:
             return AcceptedChange(ChangeReply(revision=state.revision), None)
-        update = _number_change(state, objects)
-        conditions, writes = _transaction(request_id, head_row, update)
+        update = _assign_revision(state, objects)
+        conditions, writes = _build_transaction(request_id, head_row, update)
         try:
             await self._table.transact(conditions, writes)
         except TransactionConflict:
             return None
         except PlatformUnavailable:
-            return await self._settle(request_id, update)
+            return await self._resolve_outcome(request_id, update)
         return AcceptedChange(ChangeReply(revision=update.revision), update)
 
-    async def _settle(self, request_id: str, update: ConfigUpdate) -> AcceptedChange | None:
-        """Find out whether a transaction without an answer took effect, and rule it out if not."""
+    async def _resolve_outcome(
+        self, request_id: str, update: ConfigUpdate
+    ) -> AcceptedChange | None:
+        """Determine whether a transaction took effect; void the request if it did not."""
         key = REQUEST_PREFIX + request_id
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(MAX_RESOLVE_ATTEMPTS):
             try:
                 await self._table.transact([Condition(key, ABSENT)], [Write(key, VOID)])
             except TransactionConflict:
-                return await self._settled_by_row(request_id, update)
+                return await self._outcome_by_request_row(request_id, update)
             except PlatformError:
-                await anyio.sleep(SETTLE_PAUSE)
+                await anyio.sleep(RESOLVE_RETRY_DELAY_SECONDS)
                 continue
-            raise ChangeNotAccepted("the store did not answer in time", RETRY_AFTER)
+            raise ChangeNotAccepted("the store did not respond in time", RETRY_AFTER_SECONDS)
         raise ChangeOutcomeUnknown(request_id)
 
-    async def _settled_by_row(self, request_id: str, update: ConfigUpdate) -> AcceptedChange | None:
+    async def _outcome_by_request_row(
+        self, request_id: str, update: ConfigUpdate
+    ) -> AcceptedChange | None:
         try:
-            reply = await self._earlier_reply(request_id)
+            reply = await self._previous_reply(request_id)
         except PlatformError as error:
             raise ChangeOutcomeUnknown(request_id) from error
         if reply is None or reply.revision != update.revision:
             return None if reply is None else AcceptedChange(reply, None)
         return AcceptedChange(ChangeReply(revision=update.revision), update)
 
-    async def _earlier_reply(self, request_id: str) -> ChangeReply | None:
+    async def _previous_reply(self, request_id: str) -> ChangeReply | None:
         key = REQUEST_PREFIX + request_id
         row = (await self._table.read([key])).get(key)
         if row is None:
@@ -189,14 +195,14 @@
         )
 
 
-def _number_change(state: ConfigState, objects: Sequence[ConfigObject]) -> ConfigUpdate:
+def _assign_revision(state: ConfigState, objects: Sequence[ConfigObject]) -> ConfigUpdate:
     revision = state.revision + 1
     for item in objects:
         item.revision = revision
     return ConfigUpdate(revision=revision, previous_revision=state.revision, objects=objects)
 
 
-def _transaction(
+def _build_transaction(
     request_id: str, head_row: Row | None, update: ConfigUpdate
 ) -> tuple[list[Condition], list[Write]]:
     request_key = REQUEST_PREFIX + request_id
@@ -209,7 +215,7 @@
         Write(HEAD_KEY, number),
         Write(request_key, number),
         Write(_change_key(update.revision), update.SerializeToString()),
-        Write(_change_key(update.revision - DELTAS_KEPT), None),
+        Write(_change_key(update.revision - RETAINED_CHANGES), None),
     ]
     for item in update.objects:
         value = None if item.deleted else item.SerializeToString()
--- a/src/limedeck/config/toml_files.py
+++ b/src/limedeck/config/toml_files.py
@@ -1,4 +1,4 @@
-"""TOML files read into checked models."""
+"""Reading of TOML files into validated models."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Raises
     ------
     InvalidSetting
-        It cannot be read, or is not TOML in UTF-8.
+        The file cannot be read, or is not TOML in UTF-8.
     """
     try:
         return tomllib.loads(Path(file).read_text(encoding="utf-8"))
@@ -34,12 +34,12 @@
 
 
 def load_model(file: str, model: type[Model]) -> Model:
-    """Read a TOML file into a model.
+    """Read a TOML file and validate it as a model.
 
     Raises
     ------
     InvalidSetting
-        It cannot be read, or the first wrong key.
+        The file cannot be read, or has an invalid key; only the first one is reported.
     """
     content = read_toml(file)
     try:
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""Operators' objects, their store under races and lost answers, and the settings file."""
+"""Operators' objects, their store under races and lost responses, and the settings file."""
 
 from pathlib import Path
 
@@ -41,12 +41,12 @@
     return anyio.run(ConfigStore(table).change, request_id, planner)
 
 
-def revision_of(table: FaultyTable) -> int:
+def current_revision(table: FaultyTable) -> int:
     update = anyio.run(ConfigStore(table).poll, 0)
     return update.revision if update else 0
 
 
-def test_a_change_is_accepted_and_read_back() -> None:
+def test_an_accepted_change_can_be_read() -> None:
     table = FaultyTable()
     accepted = change(table, "r1", changes.create_service(shared("a")))
     assert (accepted.reply.revision, accepted.reply.replayed) == (1, False)
@@ -54,32 +54,32 @@
     assert update is not None and [item.service.name for item in update.objects] == ["a"]
 
 
-def test_the_same_request_id_changes_nothing_more() -> None:
+def test_a_repeated_request_id_changes_nothing() -> None:
     table = FaultyTable()
     change(table, "r1", changes.create_service(shared("a")))
     again = change(table, "r1", changes.create_service(shared("a")))
     assert (again.reply.revision, again.reply.replayed, again.update) == (1, True, None)
 
 
-def test_a_lost_answer_is_settled_as_accepted() -> None:
+def test_a_change_whose_response_is_lost_is_accepted() -> None:
     table = FaultyTable()
     table.lost_answers = 1
     accepted = change(table, "r1", changes.create_service(shared("a")))
-    assert accepted.reply.revision == 1 == revision_of(table)
+    assert accepted.reply.revision == 1 == current_revision(table)
 
 
-def test_a_lost_call_is_settled_as_not_accepted_for_good() -> None:
+def test_a_change_whose_call_is_lost_is_never_accepted() -> None:
     table = FaultyTable()
     table.lost_calls = 1
     with pytest.raises(ChangeNotAccepted):
         change(table, "r1", changes.create_service(shared("a")))
-    assert revision_of(table) == 0
+    assert current_revision(table) == 0
     with pytest.raises(ChangeNotAccepted):
         change(table, "r1", changes.create_service(shared("a")))
     assert change(table, "r2", changes.create_service(shared("a"))).reply.revision == 1
 
 
-def test_no_change_is_accepted_while_the_store_is_down() -> None:
+def test_a_change_is_not_accepted_while_the_store_is_down() -> None:
     table = FaultyTable()
     table.down = True
     with pytest.raises(ChangeNotAccepted) as caught:
@@ -87,12 +87,12 @@
     assert caught.value.retry_after > 0
 
 
-def test_of_two_operators_at_once_one_wins_and_the_other_gets_a_conflict() -> None:
+def test_one_of_several_concurrent_updates_wins_and_the_others_conflict() -> None:
     table = FaultyTable()
     change(table, "r0", changes.create_service(shared("a")))
     outcomes: list[AcceptedChange | ConfigError] = []
 
-    async def operate(request_id: str) -> None:
+    async def try_update(request_id: str) -> None:
         planner = changes.update_service(shared("a"), 1)
         try:
             outcomes.append(await ConfigStore(table).change(request_id, planner))
@@ -102,15 +102,15 @@
     async def race() -> None:
         async with anyio.create_task_group() as tasks:
             for number in range(4):
-                tasks.start_soon(operate, f"r{number + 1}")
+                tasks.start_soon(try_update, f"r{number + 1}")
 
     anyio.run(race)
     conflicts = [item for item in outcomes if isinstance(item, RevisionConflict)]
     assert len(conflicts) == 3
-    assert revision_of(table) == 2
+    assert current_revision(table) == 2
 
 
-def test_changes_of_different_objects_at_once_are_all_accepted() -> None:
+def test_concurrent_changes_of_different_objects_are_all_accepted() -> None:
     table = FaultyTable()
 
     async def race() -> None:
@@ -120,10 +120,10 @@
                 tasks.start_soon(ConfigStore(table).change, f"r{number}", planner)
 
     anyio.run(race)
-    assert revision_of(table) == 5
+    assert current_revision(table) == 5
 
 
-def test_a_reader_gets_deltas_that_add_up_to_the_whole() -> None:
+def test_applied_deltas_give_the_whole_configuration() -> None:
     table = FaultyTable()
     replica = ConfigReplica()
     store = ConfigStore(table)
@@ -138,7 +138,7 @@
     assert [item.name for item in replica.services()] == ["s-0", "s-2", "s-3", "s-4", "s-5"]
 
 
-def test_the_replica_never_goes_back() -> None:
+def test_a_replica_never_reverts() -> None:
     replica = ConfigReplica()
     replica.apply(ConfigUpdate(revision=5, objects=[ConfigObject(revision=4, service=shared("a"))]))
     assert replica.apply(ConfigUpdate(revision=4)) is UpdateOutcome.STALE
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize(("field", "service"), BAD_SERVICES)
-def test_a_bad_service_is_refused_by_field(field: str, service: Service) -> None:
+def test_an_invalid_service_is_refused_with_its_field(field: str, service: Service) -> None:
     with pytest.raises(InvalidObject) as caught:
         complete_service(service)
     assert caught.value.field == field
@@ -191,12 +191,12 @@
 @pytest.mark.parametrize(
     "address", ["", "127.0.0.1", "host:80", "127.0.0.1:0", "127.0.0.1:99999", "127.0.0.1:x"]
 )
-def test_a_back_ends_address_must_be_an_ip_number_and_port(address: str) -> None:
+def test_a_back_ends_address_must_be_an_ip_address_and_port(address: str) -> None:
     with pytest.raises(InvalidObject):
         check_backend(Backend(backend_id="b", service="a", address=address))
 
 
-def test_changes_of_what_is_not_there_are_refused() -> None:
+def test_changes_of_missing_objects_are_refused() -> None:
     table = FaultyTable()
     for planner in (
         changes.update_service(shared("a"), 1),
@@ -207,10 +207,10 @@
     ):
         with pytest.raises(ObjectNotFound):
             change(table, "r", planner)
-    assert revision_of(table) == 0
+    assert current_revision(table) == 0
 
 
-def test_fixed_fields_addresses_and_used_services_are_guarded() -> None:
+def test_fixed_fields_used_addresses_and_services_with_back_ends_are_protected() -> None:
     table = FaultyTable()
     change(table, "r1", changes.create_service(shared("a")))
     change(
@@ -227,7 +227,7 @@
             change(table, "r", planner)
 
 
-def test_back_ends_are_placed_in_the_group_with_the_fewest() -> None:
+def test_back_ends_are_added_to_the_control_group_with_the_fewest() -> None:
     table = FaultyTable()
     change(table, "r", changes.create_service(keyed(control_groups=3)))
     for number in range(7):
@@ -239,7 +239,7 @@
     assert sorted(groups) == [0, 0, 0, 1, 1, 2, 2]
 
 
-def test_applying_a_configuration_creates_changes_and_deletes() -> None:
+def test_applying_a_configuration_creates_and_deletes_objects() -> None:
     table = FaultyTable()
     change(table, "r1", changes.create_service(shared("old")))
     change(table, "r2", changes.create_service(shared("kept")))
@@ -280,22 +280,22 @@
 ]
 
 
-def write(directory: Path, content: str) -> str:
+def write_settings(directory: Path, content: str) -> str:
     file = directory / "settings.toml"
     file.write_text(content)
     return str(file)
 
 
-def test_good_settings_are_taken_with_overrides(tmp_path: Path) -> None:
-    settings = load_settings(write(tmp_path, GOOD_SETTINGS), {"zone": "south"})
+def test_flags_override_settings(tmp_path: Path) -> None:
+    settings = load_settings(write_settings(tmp_path, GOOD_SETTINGS), {"zone": "south"})
     assert (settings.node.id, settings.node.zone) == ("n1", "south")
 
 
 @pytest.mark.parametrize(("key", "content"), BAD_SETTINGS)
-def test_bad_settings_name_file_key_problem_and_what_is_right(
+def test_invalid_settings_are_reported_with_file_key_problem_and_expected_value(
     tmp_path: Path, key: str, content: str
 ) -> None:
-    file = write(tmp_path, content)
+    file = write_settings(tmp_path, content)
     with pytest.raises(InvalidSetting) as caught:
         load_settings(file, {})
     error = caught.value
@@ -303,14 +303,14 @@
     assert error.problem and error.expected
 
 
-def test_several_bad_settings_are_reported_together(tmp_path: Path) -> None:
+def test_several_invalid_settings_are_reported_together(tmp_path: Path) -> None:
     content = GOOD_SETTINGS.replace("127.0.0.1:7100", "x").replace("127.0.0.1:7200", "y")
     with pytest.raises(ExceptionGroup) as caught:
-        load_settings(write(tmp_path, content), {})
+        load_settings(write_settings(tmp_path, content), {})
     assert len(caught.value.exceptions) == 2
     assert all(isinstance(error, SettingsError) for error in caught.value.exceptions)
 
 
-def test_a_missing_settings_file_is_a_typed_error(tmp_path: Path) -> None:
+def test_a_missing_settings_file_is_an_invalid_setting(tmp_path: Path) -> None:
     with pytest.raises(InvalidSetting):
         load_settings(str(tmp_path / "none.toml"), {})
