--- a/src/limedeck/cli/application.py
+++ b/src/limedeck/cli/application.py
@@ -1,4 +1,4 @@
-"""The operators' client: ``limedeck``."""
+"""The operators' command ``limedeck``."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def build_application() -> Application:
-    """Build the client with all of its commands."""
+    """Return the application with all commands."""
     application = Application("limedeck", VERSION)
     application.auto_exits(False)
     application.catch_exceptions(True)
@@ -55,7 +55,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command line."""
     sys.exit(build_application().run())
 
 
--- a/src/limedeck/cli/backends.py
+++ b/src/limedeck/cli/backends.py
@@ -8,11 +8,11 @@
 from limedeck.cli.base import BadInput, OperatorCommand, common_options
 from limedeck.cli.client import OperatorClient
 
-BACKEND_HEAD = ("ID", "SERVICE", "ADDRESS", "ZONE", "GROUP", "STATE", "REVISION")
+BACKEND_COLUMNS = ("ID", "SERVICE", "ADDRESS", "ZONE", "GROUP", "STATE", "REVISION")
 
 
 def backend_row(item: ConfigObject) -> tuple[object, ...]:
-    """A back end as a row of a table."""
+    """Return a back end as a row of a table."""
     backend = item.backend
     state = "draining" if backend.draining else "in use"
     return (
@@ -34,7 +34,7 @@
     arguments = [  # noqa: RUF012
         argument("id", "Id of the back end"),
         argument("service", "Name of its service"),
-        argument("address", "IP number and port"),
+        argument("address", "IP address and port"),
     ]
     options = [*common_options(), option("zone", None, "Its zone", flag=False, default="")]  # noqa: RUF012
 
@@ -52,7 +52,7 @@
     """Drains a back end."""
 
     name = "backend drain"
-    description = "Have a back end give up its keys and get no new work"
+    description = "Drain a back end: it gives up its keys and receives no new work"
     arguments = [argument("id", "Id of the back end")]  # noqa: RUF012
     options = common_options()
 
@@ -83,7 +83,7 @@
 
     name = "backend list"
     description = "List back ends"
-    arguments = [argument("service", "Only of this service", optional=True)]  # noqa: RUF012
+    arguments = [argument("service", "Service to list; all if not given", optional=True)]  # noqa: RUF012
     options = common_options()
 
     def run_call(self, client: OperatorClient) -> int:
@@ -91,12 +91,12 @@
         if self.wants_json:
             self.print_message(reply)
         else:
-            self.print_table(BACKEND_HEAD, [backend_row(item) for item in reply.objects])
+            self.print_table(BACKEND_COLUMNS, [backend_row(item) for item in reply.objects])
         return 0
 
 
 def find_revision(client: OperatorClient, backend_id: str) -> int:
-    """Revision of a back end as the node holds it."""
+    """Return the revision of a back end at the node."""
     for item in client.list_backends().objects:
         if item.backend.backend_id == backend_id:
             return item.revision
--- a/src/limedeck/cli/base.py
+++ b/src/limedeck/cli/base.py
@@ -1,4 +1,4 @@
-"""What all of the operators' commands share: server, output format, exit codes."""
+"""Base of the operators' commands: server, output format, exit codes."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 class BadInput(LimedeckError):
-    """An argument or option of a command cannot be used."""
+    """An argument or option of a command is invalid."""
 
 
 def common_options() -> list[Option]:
-    """Options that every command takes."""
+    """Return the options that all commands take."""
     return [
         option("server", None, "A node's operator address", flag=False, default=DEFAULT_SERVER),
         option("output", "o", "table or json", flag=False, default="table"),
@@ -49,7 +49,7 @@
     """A command that calls a node."""
 
     def handle(self) -> int:
-        """Run the command and turn its failures into exit codes."""
+        """Run the command; map failures to exit codes."""
         try:
             if self.option("output") not in ("table", "json"):
                 raise BadInput(f"--output {self.option('output')}: must be table or json")
@@ -62,11 +62,11 @@
             self.line_error(f"limedeck: {error}")
             return EXIT_BAD_INPUT
         except OperatorCallFailed as error:
-            self._explain(error)
+            self._print_failure(error)
             return EXIT_CODES.get(error.code, EXIT_FAILED)
 
     def run_call(self, client: OperatorClient) -> int:
-        """Do the command's work; return the exit code."""
+        """Run the command with a client and return the exit code."""
         raise NotImplementedError
 
     @property
@@ -84,12 +84,12 @@
             self.line(line)
 
     def print_change(self, reply: api.ChangeReply) -> int:
-        """Print what became of a change."""
+        """Print the reply to a change and return the exit code."""
         if self.wants_json:
             self.print_message(reply)
         else:
-            again = " (had been accepted before)" if reply.replayed else ""
-            self.line(f"accepted as revision {reply.revision}{again}")
+            suffix = " (accepted earlier)" if reply.replayed else ""
+            self.line(f"accepted as revision {reply.revision}{suffix}")
         return EXIT_OK
 
     def whole_number(self, name: str, default: int = 0) -> int:
@@ -101,7 +101,7 @@
             raise BadInput(f"--{name} {value}: must be a whole number")
         return int(value)
 
-    def _explain(self, error: OperatorCallFailed) -> None:
+    def _print_failure(self, error: OperatorCallFailed) -> None:
         self.line_error(f"limedeck: {error.code.name.lower()}: {error.message}")
         if error.detail.HasField("current"):
             self.line_error(f"limedeck: current: {to_json(error.detail.current)}")
--- a/src/limedeck/cli/client.py
+++ b/src/limedeck/cli/client.py
@@ -16,20 +16,20 @@
 from limedeck.errors import LimedeckError
 
 ERROR_DETAIL_KEY = "limedeck-error-bin"
-CALL_TIMEOUT = 10.0
-SETTLE_ATTEMPTS = 3
-SETTLE_PAUSE = 0.5
+CALL_TIMEOUT_SECONDS = 10.0
+MAX_CHANGE_ATTEMPTS = 3
+RETRY_DELAY_SECONDS = 0.5
 Reply = TypeVar("Reply")
 
 
 @dataclass
 class OperatorCallFailed(LimedeckError):
-    """A call was refused or had no answer.
+    """A call was refused or got no response.
 
     Parameters
     ----------
     detail
-        What the node said, when it did.
+        The node's details of the error; empty if it sent none.
     """
 
     code: grpc.StatusCode
@@ -41,20 +41,20 @@
 
 
 def new_request_id() -> str:
-    """Make an id for a change."""
+    """Return a new unique id for a change."""
     return uuid.uuid4().hex
 
 
 class OperatorClient:
-    """A connection to one node.
+    """Client of one node's operator service.
 
     Parameters
     ----------
     server
-        IP number and port of the node's operator service.
+        IP address and port of the node's operator service.
     """
 
-    def __init__(self, server: str, timeout: float = CALL_TIMEOUT) -> None:
+    def __init__(self, server: str, timeout: float = CALL_TIMEOUT_SECONDS) -> None:
         self._channel = grpc.insecure_channel(server)
         self._stub = operators_pb2_grpc.OperatorsStub(self._channel)
         self._timeout = timeout
@@ -71,7 +71,7 @@
     def update_service(
         self, service: Service, base_revision: int, request_id: str = ""
     ) -> api.ChangeReply:
-        """Replace a service that is at a revision."""
+        """Replace a service if it is at the base revision."""
         header = _header(base_revision, request_id)
         request = api.UpdateServiceRequest(header=header, service=service)
         return self._change(self._stub.UpdateService, request)
@@ -79,7 +79,7 @@
     def delete_service(
         self, name: str, base_revision: int, request_id: str = ""
     ) -> api.ChangeReply:
-        """Delete a service that is at a revision."""
+        """Delete a service if it is at the base revision."""
         request = api.DeleteServiceRequest(header=_header(base_revision, request_id), name=name)
         return self._change(self._stub.DeleteService, request)
 
@@ -91,7 +91,7 @@
     def drain_backend(
         self, backend_id: str, base_revision: int, request_id: str = ""
     ) -> api.ChangeReply:
-        """Have a back end that is at a revision give up its work."""
+        """Drain a back end if it is at the base revision."""
         header = _header(base_revision, request_id)
         request = api.DrainBackendRequest(header=header, backend_id=backend_id)
         return self._change(self._stub.DrainBackend, request)
@@ -99,7 +99,7 @@
     def remove_backend(
         self, backend_id: str, base_revision: int, request_id: str = ""
     ) -> api.ChangeReply:
-        """Remove a back end that is at a revision."""
+        """Remove a back end if it is at the base revision."""
         header = _header(base_revision, request_id)
         request = api.RemoveBackendRequest(header=header, backend_id=backend_id)
         return self._change(self._stub.RemoveBackend, request)
@@ -111,7 +111,7 @@
         base_revision: int,
         request_id: str = "",
     ) -> api.ChangeReply:
-        """Make the configuration hold just these objects."""
+        """Replace the configuration with these objects."""
         request = api.ApplyConfigRequest(
             header=_header(base_revision, request_id), services=services, backends=backends
         )
@@ -130,15 +130,15 @@
         return self._call(self._stub.ListBackends, api.ListBackendsRequest(service=service))
 
     def get_config(self) -> api.GetConfigReply:
-        """Read the configuration that is in force at the node."""
+        """Read the configuration in force at the node."""
         return self._call(self._stub.GetConfig, api.GetConfigRequest())
 
     def get_assignment(self, service: str) -> api.Assignment:
-        """Read who owns what."""
+        """Read the assignment of a service's keys."""
         return self._call(self._stub.GetAssignment, api.GetAssignmentRequest(service=service))
 
     def watch_assignment(self, service: str) -> Iterator[api.Assignment]:
-        """Yield the assignment, and again whenever it changes."""
+        """Yield the assignment now and after each change."""
         try:
             yield from self._stub.WatchAssignment(api.GetAssignmentRequest(service=service))
         except grpc.RpcError as error:
@@ -159,19 +159,19 @@
             raise _failure(error) from None
 
     def _change(self, method: Callable[..., api.ChangeReply], request: Any) -> api.ChangeReply:
-        """Send a change; a lost answer is settled by sending it again under its request id."""
-        for _ in range(SETTLE_ATTEMPTS - 1):
+        """Send a change; if the response is lost, send it again with the same request id."""
+        for _ in range(MAX_CHANGE_ATTEMPTS - 1):
             try:
                 return self._call(method, request)
             except OperatorCallFailed as error:
-                answered = error.detail.kind != api.ErrorDetail.KIND_UNSPECIFIED
-                lost = error.code in (
+                has_response = error.detail.kind != api.ErrorDetail.KIND_UNSPECIFIED
+                may_be_lost = error.code in (
                     grpc.StatusCode.UNAVAILABLE,
                     grpc.StatusCode.DEADLINE_EXCEEDED,
                 )
-                if answered or not lost:
+                if has_response or not may_be_lost:
                     raise
-            time.sleep(SETTLE_PAUSE)
+            time.sleep(RETRY_DELAY_SECONDS)
         return self._call(method, request)
 
 
--- a/src/limedeck/cli/config_file.py
+++ b/src/limedeck/cli/config_file.py
@@ -1,4 +1,4 @@
-"""The file that ``limedeck config apply`` takes: the whole wanted configuration in TOML."""
+"""The file for ``limedeck config apply``: the whole desired configuration in TOML."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Section(BaseModel):
-    """A table of the file; keys it does not know are refused."""
+    """A table of the file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ServiceEntry(Section):
-    """A service."""
+    """A service in the file."""
 
     name: str
     ownership: Literal["keyed", "shared"]
@@ -40,7 +40,7 @@
     repeatable_methods: list[str] = []
 
     def to_message(self) -> Service:
-        """The service as the operators' calls take it."""
+        """Return the service as a message of the operators' service."""
         return Service(
             name=self.name,
             sharing=SharingRule(
@@ -60,7 +60,7 @@
 
 
 class BackendEntry(Section):
-    """A back end."""
+    """A back end in the file."""
 
     id: str
     service: str
@@ -69,7 +69,7 @@
     draining: bool = False
 
     def to_message(self) -> Backend:
-        """The back end as the operators' calls take it."""
+        """Return the back end as a message of the operators' service."""
         return Backend(
             backend_id=self.id,
             service=self.service,
@@ -87,11 +87,11 @@
 
 
 def load_config_file(file: str) -> ConfigFile:
-    """Read and check a configuration file.
+    """Read and validate a configuration file.
 
     Raises
     ------
     InvalidSetting
-        It cannot be used.
+        The file cannot be read or is invalid.
     """
     return load_model(file, ConfigFile)
--- a/src/limedeck/cli/inspection.py
+++ b/src/limedeck/cli/inspection.py
@@ -20,7 +20,7 @@
     """A command that prints assignments."""
 
     def print_assignment(self, assignment: api.Assignment) -> None:
-        """Print how much of the line each back end owns."""
+        """Print the share of the key space that each back end owns."""
         if self.wants_json:
             self.print_message(assignment)
             return
@@ -28,7 +28,8 @@
         shares: Counter[str] = Counter()
         following = [*(item.start for item in assignment.boundaries[1:]), 0]
         for boundary, next_start in zip(assignment.boundaries, following, strict=True):
-            # A smaller start begins the next group's line.
+            # Each control group has slices of the whole key space, ordered by start. A start that
+            # is not greater than the previous one begins the next group.
             end = next_start if next_start > boundary.start else KEY_LINE_END
             slices[boundary.owner] += 1
             shares[boundary.owner] += end - boundary.start
@@ -44,7 +45,7 @@
 
 
 class AssignmentGet(AssignmentCommand):
-    """Shows who owns what."""
+    """Shows the owners of a service's keys."""
 
     name = "assignment get"
     description = "Show how a service's keys are assigned"
@@ -57,10 +58,10 @@
 
 
 class AssignmentWatch(AssignmentCommand):
-    """Shows who owns what, again at every change."""
+    """Shows the owners of a service's keys, again after each change."""
 
     name = "assignment watch"
-    description = "Show how a service's keys are assigned, again at every change"
+    description = "Show how a service's keys are assigned, again after each change"
     arguments = [argument("service", "Name of the service")]  # noqa: RUF012
     options = common_options()
 
--- a/src/limedeck/cli/node_client.py
+++ b/src/limedeck/cli/node_client.py
@@ -1,4 +1,4 @@
-"""Questions to one node over HTTP, with typed failures."""
+"""Client of one node's status endpoints over HTTP, with typed failures."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     StatusView,
 )
 
-TIMEOUT = 5.0
+REQUEST_TIMEOUT_SECONDS = 5.0
 View = TypeVar("View", bound=msgspec.Struct)
 
 
 @dataclass
 class NodeUnreachable(LimedeckError):
-    """A node gave no answer, or one that is none of a node."""
+    """A node did not respond, or sent an invalid response."""
 
     node: str
     reason: str
@@ -36,51 +36,56 @@
 
 
 class NotFoundAtNode(LimedeckError):
-    """The node has no such thing to show."""
+    """The node does not have the requested item."""
 
 
 class NodeClient:
-    """Asks one node what it believes.
+    """Reads one node's view of the system.
 
     Parameters
     ----------
     node
-        IP number and port where it answers whether it is ready.
+        IP address and port of the node's readiness check.
     """
 
     def __init__(self, node: str) -> None:
         self._node = node
         self._client = httpx.Client(
-            base_url=f"http://{node}", timeout=TIMEOUT, trust_env=False, follow_redirects=False
+            base_url=f"http://{node}",
+            timeout=REQUEST_TIMEOUT_SECONDS,
+            trust_env=False,
+            follow_redirects=False,
         )
 
     def status(self) -> StatusView:
-        """Ask for its view of the system."""
-        return self._ask(STATUS_PATH, StatusView)
+        """Read the node's status."""
+        return self._get(STATUS_PATH, StatusView)
 
     def assignment(self, service: str) -> AssignmentView:
-        """Ask for the owners of a service's keys."""
-        return self._ask(f"{ASSIGNMENT_PATH}{quote(service, safe='')}", AssignmentView)
+        """Read the owners of a service's keys."""
+        return self._get(f"{ASSIGNMENT_PATH}{quote(service, safe='')}", AssignmentView)
 
     def locate(self, service: str, position: str) -> LocationView:
-        """Ask where requests for a key go."""
+        """Read where the node sends requests for a key."""
         path = f"{LOCATE_PATH}{quote(service, safe='')}/{quote(position, safe='')}"
-        return self._ask(path, LocationView)
+        return self._get(path, LocationView)
 
     def close(self) -> None:
         """Close the connection."""
         self._client.close()
 
-    def _ask(self, path: str, kind: type[View]) -> View:
+    def _get(self, path: str, view_type: type[View]) -> View:
         try:
-            answer = self._client.get(path)
+            response = self._client.get(path)
         except (httpx.HTTPError, httpx.InvalidURL) as error:
             raise NodeUnreachable(self._node, type(error).__name__) from error
         try:
-            if answer.status_code == httpx.codes.NOT_FOUND:
-                raise NotFoundAtNode(msgspec.json.decode(answer.content, type=ProblemView).problem)
-            if not answer.is_success:
-                raise NodeUnreachable(self._node, f"status {answer.status_code}")
-            return msgspec.json.decode(answer.content, type=kind)
+            if response.status_code == httpx.codes.NOT_FOUND:
+                raise NotFoundAtNode(
+                    msgspec.json.decode(response.content, type=ProblemView).problem
+                )
+            if not response.is_success:
+                raise NodeUnreachable(self._node, f"status {response.status_code}")
+            return msgspec.json.decode(response.content, type=view_type)
         except msgspec.DecodeError as error:
-            raise NodeUnreachable(self._node, f"not a node's answer: {error}") from error
+            raise NodeUnreachable(self._node, f"invalid response: {error}") from error
--- a/src/limedeck/cli/nodes.py
+++ b/src/limedeck/cli/nodes.py
@@ -1,4 +1,4 @@
-"""``limedeck node ...``: what one node believes."""
+"""``limedeck node ...``: one node's view of the system."""
 
 from __future__ import annotations
 
@@ -15,37 +15,39 @@
 from limedeck.cli.output import table_lines
 from limedeck.views import BackendView, LeaderView, StatusView
 
-DEFAULT_NODE = "127.0.0.1:9000"
+DEFAULT_NODE_ADDRESS = "127.0.0.1:9000"
 
 
 def node_options() -> list[Option]:
-    """Options that every question to a node takes."""
+    """Return the options that all ``node`` commands take."""
     return [
-        option("node", None, "Where the node answers readiness", flag=False, default=DEFAULT_NODE),
+        option(
+            "node", None, "A node's readiness address", flag=False, default=DEFAULT_NODE_ADDRESS
+        ),
         option("output", "o", "table or json", flag=False, default="table"),
     ]
 
 
 @dataclass(frozen=True)
-class Answer:
-    """What a node answered, and the same as lines for people."""
+class NodeResponse:
+    """A node's response, and its text output."""
 
     view: msgspec.Struct
     lines: list[str]
 
 
 class NodeCommand(Command):
-    """A question to one node."""
+    """A command that queries one node."""
 
     def handle(self) -> int:
-        """Ask, print, and turn failures into exit codes."""
+        """Query the node and print the result; map failures to exit codes."""
         output = self.option("output")
         if output not in ("table", "json"):
             self.line_error(f"limedeck: --output {output}: must be table or json")
             return EXIT_BAD_INPUT
         client = NodeClient(self.option("node"))
         try:
-            answer = self.put_question(client)
+            response = self.query(client)
         except NotFoundAtNode as error:
             self.line_error(f"limedeck: {error}")
             return EXIT_NOT_FOUND
@@ -54,13 +56,13 @@
             return EXIT_FAILED
         finally:
             client.close()
-        as_json = msgspec.json.encode(answer.view).decode()
-        for line in [as_json] if output == "json" else answer.lines:
+        as_json = msgspec.json.encode(response.view).decode()
+        for line in [as_json] if output == "json" else response.lines:
             self.line(line)
         return EXIT_OK
 
-    def put_question(self, client: NodeClient) -> Answer:
-        """Ask the node."""
+    def query(self, client: NodeClient) -> NodeResponse:
+        """Query the node."""
         raise NotImplementedError
 
 
@@ -68,13 +70,13 @@
     """Shows a node's view of the system."""
 
     name = "node status"
-    description = "Show who leads and why, services, and back ends, as one node believes"
+    description = "Show who leads and why, services, and back ends, as one node sees them"
     options = node_options()
 
-    def put_question(self, client: NodeClient) -> Answer:
+    def query(self, client: NodeClient) -> NodeResponse:
         view = client.status()
         lines = [
-            f"node {view.node} in {view.zone}, {_condition(view)}, "
+            f"node {view.node} in {view.zone}, {_node_state(view)}, "
             f"configuration {view.configuration}, {view.nodes or 'unknown number of'} nodes",
             _leader_line(view),
             *table_lines(
@@ -86,18 +88,18 @@
             ),
             *_backend_lines(view.backends),
         ]
-        return Answer(view, lines)
+        return NodeResponse(view, lines)
 
 
 class NodeAssignment(NodeCommand):
-    """Shows by which owners a node routes."""
+    """Shows the owners that a node uses for routing."""
 
     name = "node assignment"
-    description = "Show the owners of a service's keys, as one node routes by them"
+    description = "Show the owners of a service's keys that one node uses for routing"
     arguments = [argument("service", "Name of the service")]  # noqa: RUF012
     options = node_options()
 
-    def put_question(self, client: NodeClient) -> Answer:
+    def query(self, client: NodeClient) -> NodeResponse:
         view = client.assignment(self.argument("service"))
         ranges: Counter[str] = Counter(item.owner for item in view.ranges)
         keys: Counter[str] = Counter()
@@ -109,7 +111,7 @@
             for owner in sorted(ranges)
         ]
         table = table_lines(("OWNER", "RANGES", "SHARE"), rows)
-        return Answer(view, [f"version {view.version}", *table])
+        return NodeResponse(view, [f"version {view.version}", *table])
 
 
 class NodeLocate(NodeCommand):
@@ -123,21 +125,21 @@
     ]
     options = node_options()
 
-    def put_question(self, client: NodeClient) -> Answer:
+    def query(self, client: NodeClient) -> NodeResponse:
         view = client.locate(self.argument("service"), self.argument("position"))
-        found = view.range
-        line = f"key {view.position} of {view.service}, in {found.first} to {found.last}: "
+        key_range = view.range
+        line = f"key {view.position} of {view.service}, in {key_range.first} to {key_range.last}: "
         if view.owner is None:
-            owner = f"{found.owner}, not listed" if found.owner else "no owner"
-            return Answer(view, [line + owner])
-        return Answer(view, [line + found.owner, *_backend_lines([view.owner])])
+            owner = f"{key_range.owner}, not listed" if key_range.owner else "no owner"
+            return NodeResponse(view, [line + owner])
+        return NodeResponse(view, [line + key_range.owner, *_backend_lines([view.owner])])
 
 
-def _condition(view: StatusView) -> str:
+def _node_state(view: StatusView) -> str:
     if view.stopping:
         return "stopping"
     if view.isolated:
-        return "isolated: it has heard no sound leader"
+        return "isolated: it has not heard from a valid leader"
     return "ready" if view.ready else "not ready"
 
 
@@ -147,12 +149,12 @@
         return "leader unknown"
     why = f", because the one before was: {leader.why}" if leader.why else ""
     line = f"leader {leader.node}, term {leader.term}, for {leader.known_for:.1f} s at least{why}"
-    return line + ("" if view.leads else _heard(leader))
+    return line + ("" if view.leads else _contact_text(leader))
 
 
-def _heard(leader: LeaderView) -> str:
-    doubt = f", suspected: {leader.suspicion}" if leader.suspicion else ""
-    return f"; heard {leader.heard_ago:.1f} s ago{doubt}"
+def _contact_text(leader: LeaderView) -> str:
+    suspicion = f", suspected: {leader.suspicion}" if leader.suspicion else ""
+    return f"; heard {leader.heard_ago:.1f} s ago{suspicion}"
 
 
 def _backend_lines(backends: list[BackendView]) -> list[str]:
--- a/src/limedeck/cli/output.py
+++ b/src/limedeck/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing of replies as a table or as JSON."""
+"""Formatting of output as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def to_json(message: Message) -> str:
-    """Write a message as one JSON document; unset fields are left out."""
+    """Return a message as one line of JSON; unset fields are left out."""
     return json.dumps(MessageToDict(message, preserving_proto_field_name=True), sort_keys=True)
 
 
 def table_lines(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Write rows in columns as wide as their widest cell."""
+    """Return the lines of a table, each column as wide as its widest cell."""
     cells = [list(head), *[[str(cell) for cell in row] for row in rows]]
     widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
     return [
--- a/src/limedeck/cli/services.py
+++ b/src/limedeck/cli/services.py
@@ -19,22 +19,22 @@
 
 
 def service_options() -> list[Option]:
-    """Options that describe a service."""
+    """Return the options that describe a service."""
     return [
         option("ownership", None, "keyed or shared", flag=False, default="keyed"),
         option("key-source", None, "path:N, header:NAME or query:NAME", flag=False, default=""),
-        option("slices-per-backend", None, "Slices at the start", flag=False),
-        option("control-groups", None, "Groups that share the keys", flag=False),
-        option("backend-slots", None, "Requests a back end runs at once", flag=False),
-        option("backend-connections", None, "Connections a back end takes", flag=False),
-        option("default-deadline-ms", None, "Deadline of requests that name none", flag=False),
+        option("slices-per-backend", None, "Initial slices per back end", flag=False),
+        option("control-groups", None, "Control groups that share the keys", flag=False),
+        option("backend-slots", None, "Concurrent requests per back end", flag=False),
+        option("backend-connections", None, "Connections per back end", flag=False),
+        option("default-deadline-ms", None, "Deadline of requests without one", flag=False),
         option("maximum-body-bytes", None, "Largest request body", flag=False),
-        option("repeatable", None, "Methods that may be sent again", flag=False, multiple=True),
+        option("repeatable", None, "Methods that may be repeated", flag=False, multiple=True),
     ]
 
 
 def service_row(item: ConfigObject) -> tuple[object, ...]:
-    """A service as a row of a table."""
+    """Return a service as a row of a table."""
     service = item.service
     keyed = service.sharing.ownership == OWNERSHIP_KEYED
     return (
@@ -48,7 +48,7 @@
     )
 
 
-SERVICE_HEAD = ("NAME", "OWNERSHIP", "KEY", "SLOTS", "CONNECTIONS", "REPEATABLE", "REVISION")
+SERVICE_COLUMNS = ("NAME", "OWNERSHIP", "KEY", "SLOTS", "CONNECTIONS", "REPEATABLE", "REVISION")
 
 
 class ServiceCommand(OperatorCommand):
@@ -93,12 +93,12 @@
     """Replaces a service."""
 
     name = "service update"
-    description = "Replace a service; what is not given gets its default"
+    description = "Replace a service; options that are not given get their defaults"
     arguments = [argument("name", "Name of the service")]  # noqa: RUF012
     options = [  # noqa: RUF012
         *common_options(),
         *service_options(),
-        option("base-revision", None, "Revision the change is made from", flag=False),
+        option("base-revision", None, "Revision that the change is based on", flag=False),
     ]
 
     def run_call(self, client: OperatorClient) -> int:
@@ -114,7 +114,7 @@
     arguments = [argument("name", "Name of the service")]  # noqa: RUF012
     options = [  # noqa: RUF012
         *common_options(),
-        option("base-revision", None, "Revision the change is made from", flag=False),
+        option("base-revision", None, "Revision that the change is based on", flag=False),
     ]
 
     def run_call(self, client: OperatorClient) -> int:
@@ -136,7 +136,7 @@
         if self.wants_json:
             self.print_message(item)
         else:
-            self.print_table(SERVICE_HEAD, [service_row(item)])
+            self.print_table(SERVICE_COLUMNS, [service_row(item)])
         return 0
 
 
@@ -152,10 +152,10 @@
         if self.wants_json:
             self.print_message(reply)
         else:
-            self.print_table(SERVICE_HEAD, [service_row(item) for item in reply.objects])
+            self.print_table(SERVICE_COLUMNS, [service_row(item) for item in reply.objects])
         return 0
 
 
 def find_revision(client: OperatorClient, name: str) -> int:
-    """Revision of a service as the node holds it."""
+    """Return the revision of a service at the node."""
     return client.get_service(name).revision
