--- a/src/limedeck/daemon/admin.py
+++ b/src/limedeck/daemon/admin.py
@@ -1,4 +1,4 @@
-"""The HTTP side towards operators' machinery: metrics and health."""
+"""HTTP endpoints for monitoring: metrics, health and readiness."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class AdminApplication:
     """ASGI application for ``/metrics``, ``/healthz`` and ``/readyz``.
 
-    ``/healthz`` answers 200 while the process runs; ``/readyz`` answers 200 when the node has a
-    configuration and does not stop.
+    ``/healthz`` returns 200 while the process runs; ``/readyz`` returns 200 when the node has a
+    configuration and is not stopping.
     """
 
     def __init__(self, host: ControlHost, telemetry: Telemetry) -> None:
@@ -26,7 +26,7 @@
         """Handle one request."""
         if scope["type"] != "http":
             return
-        status, content_type, body = self._answer(scope)
+        status, content_type, body = self._respond(scope)
         headers: list[tuple[bytes, bytes]] = [
             (b"content-type", content_type.encode()),
             (b"content-length", str(len(body)).encode()),
@@ -35,10 +35,10 @@
         await send({**start, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
-    def _answer(self, scope: Scope) -> tuple[int, str, bytes]:
+    def _respond(self, scope: Scope) -> tuple[int, str, bytes]:
         path = scope["path"]
         if path == "/metrics":
-            self._refresh()
+            self._update_leadership_gauge()
             return 200, CONTENT_TYPE_LATEST, generate_latest(self._telemetry.registry)
         if path == "/healthz":
             return 200, "text/plain", b"ok\n"
@@ -53,6 +53,6 @@
             return 503, "text/plain", b"no configuration\n"
         return 200, "text/plain", b"ready\n"
 
-    def _refresh(self) -> None:
+    def _update_leadership_gauge(self) -> None:
         for group, core in self._host.core.groups.items():
             self._telemetry.leads.labels(group).set(int(core.consensus.is_leader))
--- a/src/limedeck/daemon/backend_client.py
+++ b/src/limedeck/daemon/backend_client.py
@@ -1,4 +1,4 @@
-"""Requests to back ends: one narrow interface, with one adapter a file."""
+"""Interface for requests to back ends; each HTTP library has an adapter in its own module."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from limedeck.errors import BackendError
 
-LONGEST_CONNECT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 KEEPALIVE_SECONDS = 2.0
-"""An idle connection is dropped well before a back end would drop it."""
+"""Idle connections are closed well before a back end would close them."""
 REFUSAL_HEADER = "limedeck-refusal"
 NOT_OWNER = "not-owner"
 
 
 @dataclass
 class AttemptRefused(BackendError):
-    """The back end said that it does not run the request.
+    """The back end refused to run the request.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class BackendRequest:
-    """A request as a back end gets it."""
+    """A request as it is sent to a back end."""
 
     address: str
     method: str
@@ -42,27 +42,27 @@
     body: bytes
 
 
-class BackendAnswer(ABC):
-    """An answer whose head has come; its body comes in parts."""
+class BackendResponse(ABC):
+    """A response whose status and headers have been received; the body is read in chunks."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
 
     @abstractmethod
-    def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes; raise `AttemptFailed` when it ends too early."""
+    def chunks(self) -> AsyncIterator[bytes]:
+        """Yield the body as it arrives; raise `AttemptFailed` when it ends too early."""
 
     @abstractmethod
     async def aclose(self) -> None:
-        """Give the connection back, or drop it when the body was not read to its end."""
+        """Release the connection, or close it when the body was not read to its end."""
 
 
 class BackendClient(ABC):
     """Sends requests to back ends."""
 
     @abstractmethod
-    async def send(self, request: BackendRequest, time_left: float) -> BackendAnswer:
-        """Send a request and wait for the head of its answer.
+    async def send(self, request: BackendRequest, time_left: float) -> BackendResponse:
+        """Send a request and wait for the status and headers of the response.
 
         Parameters
         ----------
@@ -72,12 +72,12 @@
         Raises
         ------
         AttemptFailed, AttemptRefused
-            There is no answer to pass on.
+            There is no response to return to the caller.
         """
 
     @abstractmethod
     async def forget_except(self, addresses: set[str]) -> None:
-        """Close the connections to back ends that are configured no more."""
+        """Close the connections to back ends that are no longer configured."""
 
     @abstractmethod
     async def aclose(self) -> None:
--- a/src/limedeck/daemon/callers.py
+++ b/src/limedeck/daemon/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP side towards callers: reads requests, drives their cores, passes answers on."""
+"""HTTP gateway for callers: reads requests, runs their cores and returns the responses."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from limedeck.daemon.backend_client import (
     NOT_OWNER,
     AttemptRefused,
-    BackendAnswer,
     BackendClient,
     BackendRequest,
+    BackendResponse,
 )
 from limedeck.daemon.caller_requests import (
-    OWN_PREFIX,
+    RESERVED_HEADER_PREFIX,
     CallerDisconnected,
     CallerRequest,
     RequestRefused,
@@ -29,7 +29,7 @@
 from limedeck.daemon.problems import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
-    WholeAnswer,
+    BufferedResponse,
     problem,
     refusal,
 )
@@ -51,21 +51,21 @@
 )
 from limedeck.routing.rules import MILLISECONDS
 
-BUFFERED_ANSWER = 256 * 1024
-"""An answer up to so many bytes is passed on only once it is whole."""
-RESERVED_ANSWER_HEADERS = frozenset({b"connection", b"keep-alive", b"transfer-encoding"})
+MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
+"""A response of up to this size is returned only once it was received whole."""
+CONNECTION_HEADERS = frozenset({b"connection", b"keep-alive", b"transfer-encoding"})
 
 
 @dataclass(frozen=True)
-class StreamedAnswer:
-    """An answer too large to hold: what has come, and where the rest comes from."""
+class StreamedResponse:
+    """A response too large to buffer: what has been received, and an iterator over the rest."""
 
-    answer: BackendAnswer
-    head: bytes
-    iterator: Any
+    response: BackendResponse
+    received: bytes
+    remaining: Any
 
 
-Result = WholeAnswer | StreamedAnswer
+GatewayResult = BufferedResponse | StreamedResponse
 
 
 class CallerGateway:
@@ -97,23 +97,23 @@
             return
         started = steady_clock()
         try:
-            self._follow_config()
+            self._apply_config_changes()
             request = await read_request(self._host.core.config, scope, receive, started)
         except RequestRefused as error:
             self._telemetry.requests.labels("", Outcome.NOT_RUN.value, error.reason).inc()
-            await self._send_whole(send, error.answer, None)
+            await self._send_buffered(send, error.response, None)
             return
         except CallerDisconnected:
             return
-        result = await self._run_watched(request, receive)
+        result = await self._run_until_disconnect(request, receive)
         if result is not None:
             await self._send_result(send, result, request)
         service = request.target.service.name
         self._telemetry.request_seconds.labels(service).observe(steady_clock() - started)
 
-    # ------------------------------------------------------------------ reading
+    # ------------------------------------------------------------------ configuration
 
-    def _follow_config(self) -> None:
+    def _apply_config_changes(self) -> None:
         config = self._host.core.config
         membership = self._host.core.membership
         if membership.version != self._membership_seen:
@@ -127,9 +127,11 @@
 
     # ------------------------------------------------------------------ running
 
-    async def _run_watched(self, request: CallerRequest, receive: Receive) -> Result | None:
-        """Run a request; stop when the caller goes away, and then return None."""
-        result: Result | None = None
+    async def _run_until_disconnect(
+        self, request: CallerRequest, receive: Receive
+    ) -> GatewayResult | None:
+        """Run a request; stop and return None when the caller disconnects."""
+        result: GatewayResult | None = None
         async with anyio.create_task_group() as tasks:
 
             async def watch() -> None:
@@ -138,26 +140,26 @@
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(watch)
-            result = await self._run_once(request)
+            result = await self._run_deduplicated(request)
             tasks.cancel_scope.cancel()
         return result
 
-    async def _run_once(self, request: CallerRequest) -> Result:
-        """Run a request; one that the caller sent twice at the same time runs once."""
-        if not request.names_own_id:
+    async def _run_deduplicated(self, request: CallerRequest) -> GatewayResult:
+        """Run a request; duplicates with the same given id wait for the one in flight."""
+        if not request.has_given_id:
             return await self._run(request)
         key = (request.target.service.name, request.request_id)
         earlier = self._in_flight.find(key)
         if earlier is not None:
             shared = await earlier.wait(request.deadline - steady_clock())
-            return shared or _in_flight_elsewhere()
+            return shared or _already_in_flight()
         with self._in_flight.track(key) as entry:
             result = await self._run(request)
-            if isinstance(result, WholeAnswer):
+            if isinstance(result, BufferedResponse):
                 entry.finish(result)
             return result
 
-    async def _run(self, request: CallerRequest) -> Result:
+    async def _run(self, request: CallerRequest) -> GatewayResult:
         service = request.target.service.name
         budget = self._budgets.setdefault(service, RetryBudget())
         now = steady_clock()
@@ -165,7 +167,7 @@
         core = RequestCore(
             request.request_id, request.target, request.deadline, self._view, budget, now
         )
-        command: RequestCommand | Result = core.next_command(now)
+        command: RequestCommand | GatewayResult = core.next_command(now)
         while True:
             if isinstance(command, Attempt):
                 command = await self._attempt(core, command, request)
@@ -193,7 +195,7 @@
 
     async def _attempt(
         self, core: RequestCore, attempt: Attempt, request: CallerRequest
-    ) -> RequestCommand | Result:
+    ) -> RequestCommand | GatewayResult:
         service = request.target.service.name
         state = self._backends.state(attempt.backend.backend_id)
         state.outstanding += 1
@@ -201,13 +203,13 @@
         started = steady_clock()
         result = "cancelled"
         try:
-            answer = await self._client.send(
+            response = await self._client.send(
                 _backend_request(request, attempt, started), attempt.deadline - started
             )
-            gathered = await self._gather(answer)
+            received = await self._read_response(response)
             state.record_response(steady_clock() - started)
             result = "answered"
-            return gathered
+            return received
         except AttemptRefused as error:
             result = error.refusal
             not_owner = error.refusal == NOT_OWNER
@@ -230,23 +232,25 @@
             self._telemetry.running.dec()
             self._telemetry.attempts.labels(service, result).inc()
 
-    async def _gather(self, answer: BackendAnswer) -> Result:
-        """Read an answer whole, or its first part when it is too large to hold."""
-        gathered = bytearray()
-        iterator = answer.parts()
+    async def _read_response(self, response: BackendResponse) -> GatewayResult:
+        """Read a response whole, or only its first chunks when it is too large to buffer."""
+        content = bytearray()
+        remaining = response.chunks()
         streamed = False
         try:
-            async for part in iterator:
-                gathered += part
-                if len(gathered) > BUFFERED_ANSWER:
+            async for chunk in remaining:
+                content += chunk
+                if len(content) > MAX_BUFFERED_RESPONSE_BYTES:
                     streamed = True
-                    return StreamedAnswer(answer, bytes(gathered), iterator)
+                    return StreamedResponse(response, bytes(content), remaining)
         finally:
             if not streamed:
-                await answer.aclose()
-        return WholeAnswer(answer.status, _answer_headers(answer.headers), bytes(gathered))
+                await response.aclose()
+        return BufferedResponse(
+            response.status, _response_headers(response.headers), bytes(content)
+        )
 
-    def _refuse(self, refuse: Refuse, request: CallerRequest) -> WholeAnswer:
+    def _refuse(self, refuse: Refuse, request: CallerRequest) -> BufferedResponse:
         service = request.target.service.name
         self._telemetry.requests.labels(service, refuse.outcome.value, refuse.reason.value).inc()
         self._log.info(
@@ -258,35 +262,39 @@
         )
         return refusal(refuse)
 
-    # ------------------------------------------------------------------ answering
+    # ------------------------------------------------------------------ responding
 
-    async def _send_result(self, send: Send, result: Result, request: CallerRequest) -> None:
-        if isinstance(result, WholeAnswer):
-            await self._send_whole(send, result, request.request_id)
+    async def _send_result(self, send: Send, result: GatewayResult, request: CallerRequest) -> None:
+        if isinstance(result, BufferedResponse):
+            await self._send_buffered(send, result, request.request_id)
         else:
             await self._send_streamed(send, result, request.request_id)
 
-    async def _send_whole(self, send: Send, answer: WholeAnswer, request_id: str | None) -> None:
-        headers = [*answer.headers, *self._own_headers(answer.headers, request_id)]
-        await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-        await send({"type": "http.response.body", "body": answer.body})
-
-    async def _send_streamed(self, send: Send, result: StreamedAnswer, request_id: str) -> None:
-        answer = result.answer
-        headers = _answer_headers(answer.headers)
-        headers += self._own_headers(headers, request_id)
+    async def _send_buffered(
+        self, send: Send, response: BufferedResponse, request_id: str | None
+    ) -> None:
+        headers = [*response.headers, *self._router_headers(response.headers, request_id)]
+        await send({"type": "http.response.start", "status": response.status, "headers": headers})
+        await send({"type": "http.response.body", "body": response.body})
+
+    async def _send_streamed(self, send: Send, result: StreamedResponse, request_id: str) -> None:
+        response = result.response
+        headers = _response_headers(response.headers)
+        headers += self._router_headers(headers, request_id)
         try:
-            await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-            await send({"type": "http.response.body", "body": result.head, "more_body": True})
-            async for part in result.iterator:
-                await send({"type": "http.response.body", "body": part, "more_body": True})
+            await send(
+                {"type": "http.response.start", "status": response.status, "headers": headers}
+            )
+            await send({"type": "http.response.body", "body": result.received, "more_body": True})
+            async for chunk in result.remaining:
+                await send({"type": "http.response.body", "body": chunk, "more_body": True})
             await send({"type": "http.response.body", "body": b""})
         finally:
-            # A failure is raised on, so that the server cuts the connection and the caller sees
-            # that the answer is not whole.
-            await answer.aclose()
+            # A failure propagates, so that the server closes the connection and the caller sees
+            # that the response is incomplete.
+            await response.aclose()
 
-    def _own_headers(
+    def _router_headers(
         self, present: Iterable[tuple[bytes, bytes]], request_id: str | None
     ) -> list[tuple[bytes, bytes]]:
         names = {name for name, _ in present}
@@ -300,12 +308,12 @@
         return headers
 
 
-def _answer_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+def _response_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     lowered = [(name.lower(), value) for name, value in headers]
     return [
         (name, value)
         for name, value in lowered
-        if name not in RESERVED_ANSWER_HEADERS and not name.startswith(OWN_PREFIX)
+        if name not in CONNECTION_HEADERS and not name.startswith(RESERVED_HEADER_PREFIX)
     ]
 
 
@@ -325,6 +333,6 @@
     )
 
 
-def _in_flight_elsewhere() -> WholeAnswer:
+def _already_in_flight() -> BufferedResponse:
     detail = "another request with this id is in flight"
     return problem(409, "request-in-flight", detail, Outcome.UNKNOWN, retry_after=1.0)
--- a/src/limedeck/daemon/clock.py
+++ b/src/limedeck/daemon/clock.py
@@ -1,4 +1,4 @@
-"""The numbers of a process's runs."""
+"""Incarnation numbers, one for each run of a process."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def new_incarnation() -> Incarnation:
-    """Number this run of the process: larger than that of every earlier run on the machine."""
+    """Return this run's number, larger than that of every earlier run on the machine."""
     return Incarnation(time.time_ns())
--- a/src/limedeck/daemon/control_host.py
+++ b/src/limedeck/daemon/control_host.py
@@ -1,4 +1,4 @@
-"""Drives a node's control core: feeds it events, carries out its commands."""
+"""Runs a node's control core: delivers events to it and executes its commands."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
 
 
 class ControlHost:
-    """The control core of this process and everything it asks for.
+    """Runs the control core of this process and executes its commands.
 
     Parameters
     ----------
     core
         The control core.
     tasks
-        Where exchanges and platform calls run.
+        Task group in which lease exchanges and platform calls run.
     """
 
     def __init__(
@@ -85,17 +85,17 @@
         self._lease_session = open_session()
 
     def set_transport(self, send: SendToPeer) -> None:
-        """Set how messages reach other nodes."""
+        """Set the function that sends messages to other nodes."""
         self._send_to_peer = send
 
     def dispatch(self, event: ControlEvent) -> None:
-        """Hand the core an event and carry out what it wants done."""
+        """Deliver an event to the core and execute the commands that it returns."""
         for command in self.core.handle(event, steady_clock()):
-            self._carry_out(command)
-        self._note_changes()
+            self._execute(command)
+        self._notify_changes()
 
     def receive(self, message: PeerMessage) -> None:
-        """Take in another node's message."""
+        """Deliver a message from another node to the core."""
         self.dispatch(PeerMessageReceived(message))
 
     def leave(self) -> None:
@@ -109,7 +109,7 @@
             await anyio.sleep(self.core.timing.tick_interval)
 
     async def wait_for_change(self, timeout: float) -> None:
-        """Wait until routes or configuration have changed, at most so many seconds."""
+        """Wait until routes or configuration have changed, at most `timeout` seconds."""
         changed = self._changed
         with anyio.move_on_after(timeout):
             await changed.wait()
@@ -118,7 +118,7 @@
         """Close all connections."""
         await self._lease_session.close()
 
-    def _note_changes(self) -> None:
+    def _notify_changes(self) -> None:
         seen = (self.core.config.revision, self.core.routes.change_count)
         if seen == self._versions_seen:
             return
@@ -126,10 +126,10 @@
         self._changed.set()
         self._changed = anyio.Event()
         self._telemetry.config_revision.set(self.core.config.revision)
-        for group, held in self.core.routes.groups.items():
-            self._telemetry.route_version.labels(group).set(held.version)
+        for group, routes in self.core.routes.groups.items():
+            self._telemetry.route_version.labels(group).set(routes.version)
 
-    def _carry_out(self, command: ControlCommand) -> None:
+    def _execute(self, command: ControlCommand) -> None:
         if isinstance(command, SendPeer):
             if self._send_to_peer is not None:
                 self._send_to_peer(command.address, command.message)
@@ -144,9 +144,9 @@
         elif isinstance(command, ReadMachines):
             self._tasks.start_soon(self._read_machines)
         else:
-            self._tasks.start_soon(self._wake, command)
+            self._tasks.start_soon(self._tick_after_delay, command)
 
-    async def _wake(self, wake: Wake) -> None:
+    async def _tick_after_delay(self, wake: Wake) -> None:
         await anyio.sleep(wake.delay)
         self.dispatch(Tick())
 
@@ -172,12 +172,12 @@
         async with self._lease_session.post(
             url, data=content, headers=headers, raise_for_status=True
         ) as response:
-            answer = await response.read()
+            body = await response.read()
         sent = _header_bytes(response.request_info.headers) + len(content)
         self._telemetry.lease_bytes.labels("sent").inc(sent)
-        received = _header_bytes(response.headers) + len(answer)
+        received = _header_bytes(response.headers) + len(body)
         self._telemetry.lease_bytes.labels("received").inc(received)
-        return LeaseReply.FromString(answer)
+        return LeaseReply.FromString(body)
 
     async def _access_record(
         self,
@@ -185,16 +185,16 @@
         access: Callable[[ReadRecord | WriteRecord], Awaitable[RecordEvent]],
         command: ReadRecord | WriteRecord,
     ) -> None:
-        answer: RecordEvent
+        event: RecordEvent
         try:
-            answer = await access(command)
+            event = await access(command)
             self.store_reachable = True
         except TransactionConflict:
-            answer = RecordConflict()
+            event = RecordConflict()
         except PlatformError as error:
-            self._note_store_failure(error)
-            answer = RecordUnavailable()
-        self.dispatch(RecordAnswered(group, answer))
+            self._record_store_failure(error)
+            event = RecordUnavailable()
+        self.dispatch(RecordAnswered(group, event))
 
     async def _read_record(self, command: ReadRecord | WriteRecord) -> RecordEvent:
         key = GROUP_PREFIX + command.group
@@ -217,7 +217,7 @@
             update = await self._config_store.poll(command.known_revision)
             self.store_reachable = True
         except PlatformError as error:
-            self._note_store_failure(error)
+            self._record_store_failure(error)
             return
         if update is not None:
             self.dispatch(ConfigReceived(update))
@@ -232,7 +232,7 @@
         addresses = tuple(machine.address for machine in machines)
         self.dispatch(MachinesReceived(nodes, addresses))
 
-    def _note_store_failure(self, error: PlatformError) -> None:
+    def _record_store_failure(self, error: PlatformError) -> None:
         if self.store_reachable:
             self._log.warning("store_unreachable", reason=str(error))
         self.store_reachable = False
--- a/src/limedeck/daemon/httpx_client.py
+++ b/src/limedeck/daemon/httpx_client.py
@@ -9,19 +9,19 @@
 
 from limedeck.clock import steady_clock
 from limedeck.daemon.backend_client import (
+    CONNECT_TIMEOUT_SECONDS,
     KEEPALIVE_SECONDS,
-    LONGEST_CONNECT,
     REFUSAL_HEADER,
     AttemptRefused,
-    BackendAnswer,
     BackendClient,
     BackendRequest,
+    BackendResponse,
 )
 from limedeck.routing.outcomes import AttemptFailed, FailurePhase
 
 
-class HttpxAnswer(BackendAnswer):
-    """An answer from httpx."""
+class HttpxResponse(BackendResponse):
+    """A response received through httpx."""
 
     def __init__(self, response: httpx.Response, deadline: float) -> None:
         self.status = response.status_code
@@ -29,18 +29,18 @@
         self._response = response
         self._deadline = deadline
 
-    async def parts(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         stream = self._response.aiter_raw()
         while True:
             try:
                 with anyio.fail_after(self._deadline - steady_clock()):
-                    part = await anext(stream, None)
+                    chunk = await anext(stream, None)
             except (httpx.HTTPError, TimeoutError) as error:
                 reason = type(error).__name__
                 raise AttemptFailed(FailurePhase.ANSWERING, reason) from error
-            if part is None:
+            if chunk is None:
                 return
-            yield part
+            yield chunk
 
     async def aclose(self) -> None:
         with anyio.CancelScope(shield=True):
@@ -48,18 +48,19 @@
 
 
 class HttpxBackendClient(BackendClient):
-    """A small pool of connections for each back end.
+    """Keeps a separate connection pool for each back end.
 
-    One pool for all back ends would be walked whole for every request.
+    httpx goes through all connections of a pool on every request, which one pool for all back
+    ends would make expensive.
     """
 
     def __init__(self) -> None:
         self._pools: dict[str, httpx.AsyncClient] = {}
 
-    async def send(self, request: BackendRequest, time_left: float) -> BackendAnswer:
+    async def send(self, request: BackendRequest, time_left: float) -> BackendResponse:
         pool = self._pools.get(request.address) or self._open_pool(request.address)
         deadline = steady_clock() + time_left
-        timeout = httpx.Timeout(time_left, connect=min(time_left, LONGEST_CONNECT))
+        timeout = httpx.Timeout(time_left, connect=min(time_left, CONNECT_TIMEOUT_SECONDS))
         outgoing = pool.build_request(
             request.method,
             f"http://{request.address}{request.path}",
@@ -71,12 +72,12 @@
             with anyio.fail_after(time_left):
                 response = await pool.send(outgoing, stream=True)
         except (httpx.HTTPError, TimeoutError) as error:
-            raise AttemptFailed(_phase_of(error), type(error).__name__) from error
+            raise AttemptFailed(_failure_phase(error), type(error).__name__) from error
         refusal = response.headers.get(REFUSAL_HEADER)
         if refusal is not None:
             await _read_to_end(response)
             raise AttemptRefused(refusal)
-        return HttpxAnswer(response, deadline)
+        return HttpxResponse(response, deadline)
 
     async def forget_except(self, addresses: set[str]) -> None:
         for address in [item for item in self._pools if item not in addresses]:
@@ -103,13 +104,13 @@
     try:
         await response.aread()
     except httpx.HTTPError:
-        # The refusal itself has come; the connection is dropped by the library.
+        # The refusal has been received; httpx drops the connection.
         return
     finally:
         await response.aclose()
 
 
-def _phase_of(error: Exception) -> FailurePhase:
+def _failure_phase(error: Exception) -> FailurePhase:
     if isinstance(error, httpx.ConnectError | httpx.ConnectTimeout | httpx.PoolTimeout):
         return FailurePhase.NOT_CONNECTED
     if isinstance(error, httpx.WriteError | httpx.WriteTimeout):
--- a/src/limedeck/daemon/in_flight.py
+++ b/src/limedeck/daemon/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests with a caller's own id that are running now: the same id twice is one request."""
+"""Requests in flight with an id given by the caller; duplicates share one response."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 
 import anyio
 
-from limedeck.daemon.problems import WholeAnswer
+from limedeck.daemon.problems import BufferedResponse
 
 RequestKey = tuple[str, str]
 """Service and request id."""
 
 
 class InFlightRequest:
-    """A running request that others may wait for."""
+    """A request in flight, whose duplicates wait for its response."""
 
     def __init__(self) -> None:
         self._ended = anyio.Event()
-        self._answer: WholeAnswer | None = None
+        self._response: BufferedResponse | None = None
 
-    def finish(self, answer: WholeAnswer) -> None:
-        """Share the answer with those that wait."""
-        self._answer = answer
+    def finish(self, response: BufferedResponse) -> None:
+        """Set the response that the waiting duplicates share."""
+        self._response = response
 
     def end(self) -> None:
-        """Wake those that wait, with an answer or without."""
+        """Wake the waiting duplicates, whether or not there is a response."""
         self._ended.set()
 
-    async def wait(self, timeout: float) -> WholeAnswer | None:
-        """Wait for the answer; None when there is none to share in time."""
+    async def wait(self, timeout: float) -> BufferedResponse | None:
+        """Wait for the response; return None when there is none to share in time."""
         with anyio.move_on_after(timeout):
             await self._ended.wait()
-        return self._answer
+        return self._response
 
 
 class InFlightRequests:
-    """All of them, by service and request id."""
+    """All requests in flight, by service and request id."""
 
     def __init__(self) -> None:
         self._entries: dict[RequestKey, InFlightRequest] = {}
 
     def find(self, key: RequestKey) -> InFlightRequest | None:
-        """Return the running request with this key, if there is one."""
+        """Return the request in flight with this key, if there is one."""
         return self._entries.get(key)
 
     @contextmanager
     def track(self, key: RequestKey) -> Iterator[InFlightRequest]:
-        """Enter a request for as long as it runs."""
+        """Register a request for as long as it runs."""
         entry = InFlightRequest()
         self._entries[key] = entry
         try:
--- a/src/limedeck/daemon/main.py
+++ b/src/limedeck/daemon/main.py
@@ -17,17 +17,17 @@
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 OVERRIDES = {
-    "id": "Id of this node, the same as its machine's",
-    "zone": "Zone this node is in",
-    "peer-address": "Where other nodes reach it",
-    "caller-address": "Where callers reach it",
-    "operator-address": "Where operators reach it",
-    "admin-address": "Where metrics and health are answered",
+    "id": "Id of this node, the same as the id of its machine",
+    "zone": "Zone of this node",
+    "peer-address": "Address at which other nodes reach this node",
+    "caller-address": "Address at which callers reach this node",
+    "operator-address": "Address at which operators reach this node",
+    "admin-address": "Address of the metrics and health endpoints",
 }
 
 
 class DaemonCommand(Command):
-    """Runs one node until it is told to stop by SIGTERM or SIGINT."""
+    """Runs one node until SIGTERM or SIGINT stops it."""
 
     name = "limedeckd"
     description = "Runs one limedeck node"
@@ -41,7 +41,7 @@
         """Check the settings, then run."""
         file = self.option("settings")
         if not file:
-            self.line_error("limedeckd: --settings FILE is needed")
+            self.line_error("limedeckd: --settings FILE is required")
             return EXIT_SETTINGS
         settings = self._load(file)
         if settings is None:
@@ -53,7 +53,7 @@
         return EXIT_OK
 
     def _load(self, file: str) -> DaemonSettings | None:
-        """Read the settings; say what is wrong and return None when they cannot be used."""
+        """Load the settings; print the errors and return None when they are invalid."""
         settings = None
         try:
             settings = load_settings(file, self._overrides())
--- a/src/limedeck/daemon/operators.py
+++ b/src/limedeck/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' remote procedure calls."""
+"""The gRPC server for operators."""
 
 from __future__ import annotations
 
@@ -34,15 +34,19 @@
 from limedeck.routing.rules import place_of_key
 
 ERROR_DETAIL_KEY = "limedeck-error-bin"
-LARGEST_MESSAGE = 4 * 1024 * 1024
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 SERVICE_NAME = api.DESCRIPTOR.services_by_name["Operators"].full_name
-WATCH_PAUSE = 30.0
+WATCH_RECHECK_SECONDS = 30.0
 
 Context = grpc.aio.ServicerContext[Any, Any]
 
 
 class OperatorService(operators_pb2_grpc.OperatorsServicer):
-    """Answers operators; changes go to the table first and are then spread from here."""
+    """Implements the operators' calls.
+
+    A change is committed to the table first and then dispatched to this node's core, from which it
+    spreads to the other nodes.
+    """
 
     def __init__(self, host: ControlHost, store: ConfigStore) -> None:
         self._host = host
@@ -119,14 +123,14 @@
         return accepted.reply
 
     async def _abort(self, context: Context, error: ConfigError) -> NoReturn:
-        code, detail = _describe(error)
+        code, detail = _error_status(error)
         detail.message = str(error)
         if isinstance(error, RevisionConflict):
-            self._add_current(detail, error.name)
+            self._add_current_object(detail, error.name)
         metadata = ((ERROR_DETAIL_KEY, detail.SerializeToString()),)
         await context.abort(code, str(error), metadata)
 
-    def _add_current(self, detail: api.ErrorDetail, name: str) -> None:
+    def _add_current_object(self, detail: api.ErrorDetail, name: str) -> None:
         kind, _, object_name = name.partition("/")
         current = self._host.core.config.objects.get(ObjectKey(kind, object_name))
         if current is not None:
@@ -150,15 +154,15 @@
     async def ListBackends(  # noqa: N802
         self, request: api.ListBackendsRequest, context: Context
     ) -> api.ListReply:
-        wanted = request.service
-        return self._list("backend", lambda item: wanted in ("", item.backend.service))
+        service = request.service
+        return self._list("backend", lambda item: service in ("", item.backend.service))
 
-    def _list(self, kind: str, wanted: Callable[[ConfigObject], bool]) -> api.ListReply:
+    def _list(self, kind: str, matches: Callable[[ConfigObject], bool]) -> api.ListReply:
         config = self._host.core.config
         found = [
             item
             for key, item in sorted(config.objects.items())
-            if key.kind == kind and wanted(item)
+            if key.kind == kind and matches(item)
         ]
         return api.ListReply(revision=config.revision, objects=found)
 
@@ -185,7 +189,7 @@
             if assignment.version != sent:
                 sent = assignment.version
                 yield assignment
-            await self._host.wait_for_change(WATCH_PAUSE)
+            await self._host.wait_for_change(WATCH_RECHECK_SECONDS)
 
     async def Locate(  # noqa: N802
         self, request: api.LocateRequest, context: Context
@@ -224,12 +228,12 @@
         status = api.GroupStatus(group=group, route_version=core.routes.version(group))
         voters = core.groups[group].consensus.committed_voters
         status.voter_nodes.extend(sorted(voter.node_id for voter in voters))
-        held = core.routes.groups.get(group)
-        if held is not None:
-            status.slices = len(held.slices)
-            status.slices_without_owner = held.slices.slice_count(NO_OWNER)
-            if held.leader is not None:
-                status.leader_node = held.leader.node_id
+        routes = core.routes.groups.get(group)
+        if routes is not None:
+            status.slices = len(routes.slices)
+            status.slices_without_owner = routes.slices.slice_count(NO_OWNER)
+            if routes.leader is not None:
+                status.leader_node = routes.leader.node_id
         return status
 
     async def _keyed_service(self, context: Context, name: str) -> Service:
@@ -237,21 +241,23 @@
         if service is None:
             await self._abort(context, ObjectNotFound("service", name))
         if service.sharing.ownership != OWNERSHIP_KEYED:
-            await self._abort(context, InvalidObject("service", f"{name} has no owners"))
+            await self._abort(
+                context, InvalidObject("service", f"{name} is not keyed: it has no owners")
+            )
         return service
 
     def _assignment(self, service: Service) -> api.Assignment:
         assignment = api.Assignment(service=service.name)
         count = max(service.sharing.control_groups, 1)
         for index in range(count):
-            held = self._host.core.routes.groups.get(keyed_group(service.name, index, count))
-            if held is not None:
-                assignment.version += held.version
-                assignment.boundaries.extend(held.slices.to_change().upserts)
+            routes = self._host.core.routes.groups.get(keyed_group(service.name, index, count))
+            if routes is not None:
+                assignment.version += routes.version
+                assignment.boundaries.extend(routes.slices.to_change().upserts)
         return assignment
 
 
-def _describe(error: ConfigError) -> tuple[grpc.StatusCode, api.ErrorDetail]:
+def _error_status(error: ConfigError) -> tuple[grpc.StatusCode, api.ErrorDetail]:
     if isinstance(error, InvalidObject):
         detail = api.ErrorDetail(kind=api.ErrorDetail.KIND_INVALID_FIELD, field=error.field)
         return grpc.StatusCode.INVALID_ARGUMENT, detail
@@ -272,14 +278,14 @@
 
 
 class DecodingInterceptor(grpc.aio.ServerInterceptor):
-    """Answers a request that cannot be decoded with INVALID_ARGUMENT and a typed detail."""
+    """Rejects requests that cannot be decoded with INVALID_ARGUMENT and a typed detail."""
 
     async def intercept_service(
         self,
         continuation: Callable[[grpc.HandlerCallDetails], Awaitable[Any]],
         handler_call_details: grpc.HandlerCallDetails,
     ) -> Any:
-        """Move the decoding of requests into the handler."""
+        """Wrap the handler so that it decodes requests itself."""
         handler = await continuation(handler_call_details)
         if handler is None or handler.request_deserializer is None:
             return handler
@@ -315,7 +321,7 @@
     try:
         return decode(content)
     except DecodeError:
-        text = "the request is not a message of this call"
+        text = "the request cannot be decoded as the message type of this call"
         detail = api.ErrorDetail(kind=api.ErrorDetail.KIND_INVALID_FIELD, message=text)
         metadata = ((ERROR_DETAIL_KEY, detail.SerializeToString()),)
         await context.abort(grpc.StatusCode.INVALID_ARGUMENT, text, metadata)
@@ -327,7 +333,7 @@
     def __init__(self, address: str, service: OperatorService) -> None:
         self._server = grpc.aio.server(
             interceptors=[DecodingInterceptor()],
-            options=[("grpc.max_receive_message_length", LARGEST_MESSAGE)],
+            options=[("grpc.max_receive_message_length", MAX_MESSAGE_BYTES)],
         )
         operators_pb2_grpc.add_OperatorsServicer_to_server(service, self._server)
         self._health = health.aio.HealthServicer()
@@ -337,12 +343,12 @@
         self._server.add_insecure_port(address)
 
     async def start(self) -> None:
-        """Start to answer."""
+        """Start the server and report it as serving."""
         await self._server.start()
         await self._health.set(SERVICE_NAME, health_pb2.HealthCheckResponse.SERVING)
 
     async def stop(self, grace: float) -> None:
-        """Stop taking calls, and let running ones end within so many seconds."""
+        """Stop accepting calls and give running ones `grace` seconds to end."""
         await self._health.enter_graceful_shutdown()
         with anyio.CancelScope(shield=True):
             await self._server.stop(grace)
--- a/src/limedeck/daemon/peers.py
+++ b/src/limedeck/daemon/peers.py
@@ -15,32 +15,32 @@
 from limedeck.errors import PeerProtocolError
 from limedeck.node.framing import FrameReader, encode_frame
 
-QUEUED_MESSAGES = 512
-"""Messages kept for a node that cannot be reached; later ones are dropped."""
-CONNECT_TIMEOUT = 1.0
-SEND_TIMEOUT = 2.0
-RECONNECT_PAUSE = 0.1
-IDLE_LIMIT = 60.0
-"""A connection that nothing was sent on for so long is closed."""
+MAX_QUEUED_MESSAGES = 512
+"""Messages queued for one node, such as one that cannot be reached; later ones are dropped."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+SEND_TIMEOUT_SECONDS = 2.0
+RECONNECT_DELAY_SECONDS = 0.1
+IDLE_TIMEOUT_SECONDS = 60.0
+"""A connection on which nothing was sent for this long is closed."""
 
 MessageHandler = Callable[[PeerMessage], None]
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split an address into its IP number and port."""
+    """Split an address into its IP address and port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class PeerTransport:
-    """Sends and receives messages; what cannot be delivered soon is dropped.
+    """Sends and receives messages; those that cannot be delivered soon are dropped.
 
     Parameters
     ----------
     address
-        Where to listen; connections to other nodes come from its IP number too.
+        Where to listen; connections to other nodes are made from its IP address too.
     handler
-        Called with every message that comes in.
+        Called with every message that is received.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
             await listener.serve(self._receive_from)
 
     def _start_sender(self, address: str) -> MemoryObjectSendStream[bytes]:
-        sender, receiver = anyio.create_memory_object_stream[bytes](QUEUED_MESSAGES)
+        sender, receiver = anyio.create_memory_object_stream[bytes](MAX_QUEUED_MESSAGES)
         self._queues[address] = sender
         self._tasks.start_soon(self._send_to, address, receiver)
         return sender
@@ -83,12 +83,12 @@
         while True:
             frame = await queue.receive()
             try:
-                with anyio.fail_after(CONNECT_TIMEOUT):
+                with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
                     stream = await anyio.connect_tcp(host, port, local_host=self._host)
             except (OSError, TimeoutError):
-                # What was queued meanwhile is old by now; the cores send again what matters.
-                _discard_queued(queue)
-                await anyio.sleep(RECONNECT_PAUSE)
+                # Messages queued meanwhile are outdated; the cores resend those that matter.
+                _discard_queue(queue)
+                await anyio.sleep(RECONNECT_DELAY_SECONDS)
                 continue
             async with stream:
                 await self._send_frames(stream, frame, queue)
@@ -98,9 +98,9 @@
     ) -> None:
         try:
             while True:
-                with anyio.fail_after(SEND_TIMEOUT):
+                with anyio.fail_after(SEND_TIMEOUT_SECONDS):
                     await stream.send(frame)
-                with anyio.fail_after(IDLE_LIMIT):
+                with anyio.fail_after(IDLE_TIMEOUT_SECONDS):
                     frame = await queue.receive()
         except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
@@ -121,7 +121,7 @@
                 return
 
 
-def _discard_queued(queue: MemoryObjectReceiveStream[bytes]) -> None:
+def _discard_queue(queue: MemoryObjectReceiveStream[bytes]) -> None:
     while True:
         try:
             queue.receive_nowait()
--- a/src/limedeck/daemon/problems.py
+++ b/src/limedeck/daemon/problems.py
@@ -1,4 +1,4 @@
-"""Answers that the router itself gives, as problem+json with typed outcomes."""
+"""Responses that the router itself produces, as problem+json with typed outcomes."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
-    """An answer that is held whole in memory."""
+class BufferedResponse:
+    """A response that is held whole in memory."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -41,15 +41,15 @@
     detail: str,
     outcome: Outcome,
     retry_after: float | None = None,
-) -> WholeAnswer:
-    """Write a problem+json answer.
+) -> BufferedResponse:
+    """Build a problem+json response.
 
     Parameters
     ----------
     reason
         Last part of the problem's type, also the ``limedeck-reason`` header.
     retry_after
-        Seconds after which the caller should come back.
+        Seconds after which the caller should try again.
     """
     body = json.dumps(
         {
@@ -68,11 +68,11 @@
     ]
     if retry_after is not None:
         headers.append((b"retry-after", str(math.ceil(retry_after)).encode()))
-    return WholeAnswer(status, headers, body)
+    return BufferedResponse(status, headers, body)
 
 
-def refusal(refuse: Refuse) -> WholeAnswer:
-    """Write the answer for a request that was given up."""
+def refusal(refuse: Refuse) -> BufferedResponse:
+    """Build the response to a request that was given up."""
     detail = "the request was not run"
     if refuse.outcome is Outcome.UNKNOWN:
         detail = "the request may have been run"
--- a/src/limedeck/daemon/server.py
+++ b/src/limedeck/daemon/server.py
@@ -1,4 +1,4 @@
-"""Wires one daemon together, starts it and stops it as planned."""
+"""Assembles the parts of one daemon, starts them and carries out its planned stop."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
     "aiohttp": AiohttpBackendClient,
     "httpx": HttpxBackendClient,
 }
-LARGEST_HEADERS = 32 * 1024
+MAX_HEADER_BYTES = 32 * 1024
 KEEP_ALIVE_SECONDS = 75.0
-OPERATOR_GRACE = 2.0
-ADMIN_GRACE = 1.0
+OPERATOR_GRACE_SECONDS = 2.0
+ADMIN_GRACE_SECONDS = 1.0
 LISTEN_BACKLOG = 512
-HAND_OVER_PATIENCE = 5.0
-HAND_OVER_POLL = 0.05
-ROUTABLE_PATIENCE = 5.0
-"""A started node opens to callers after so long even without a configuration."""
-QUIET_SECONDS = 0.25
-"""After the listener is shut, so long for requests on connections taken just before."""
+HANDOVER_TIMEOUT_SECONDS = 5.0
+HANDOVER_POLL_SECONDS = 0.05
+ROUTABLE_TIMEOUT_SECONDS = 5.0
+"""Time after which a started node accepts callers even without a configuration."""
+NEW_CONNECTION_GRACE_SECONDS = 0.25
+"""Time after the listener is shut down for requests on connections accepted just before."""
 
 
 def http_config(address: str, graceful_timeout: float) -> Config:
@@ -57,7 +57,7 @@
 
 
 def configure_http(config: Config, graceful_timeout: float) -> None:
-    """Set what all HTTP servers of this process have in common.
+    """Apply the settings that all HTTP servers of this process share.
 
     Parameters
     ----------
@@ -66,19 +66,19 @@
     """
     config.graceful_timeout = graceful_timeout
     config.keep_alive_timeout = KEEP_ALIVE_SECONDS
-    config.h11_max_incomplete_size = LARGEST_HEADERS
+    config.h11_max_incomplete_size = MAX_HEADER_BYTES
     config.accesslog = None
     config.errorlog = None
     config.include_server_header = False
 
 
-class OwnSocketConfig(Config):
-    """HTTP server configuration that listens on a socket which this process keeps at hand."""
+class PreboundSocketConfig(Config):
+    """HTTP server configuration for a listening socket that this process has opened."""
 
     listener: socket.socket
 
     def create_sockets(self) -> Sockets:
-        """Hand the server the socket."""
+        """Return the open socket instead of binding a new one."""
         return Sockets([], [self.listener], [])
 
 
@@ -111,7 +111,7 @@
         )
 
     async def run(self) -> None:
-        """Run until a planned stop is over."""
+        """Run until a planned stop has completed."""
         platform = self._settings.platform
         table = HttpTransactionalTable(platform.table_url, platform.timeout_seconds)
         machine_list = HttpMachineList(platform.machine_list_url, platform.timeout_seconds)
@@ -135,12 +135,12 @@
                 await self._serve_until_stopped(host, ConfigStore(table))
                 tasks.cancel_scope.cancel()
         except* InvariantViolation as group:
-            # A node whose state is impossible grants nothing more: it ends.
+            # A node whose state violates an invariant must grant nothing more, so it exits.
             for error in group.exceptions:
                 self._log.critical("invariant_violated", problem=str(error))
             raise
         finally:
-            # Only now does nothing use these connections any more.
+            # The tasks that use these connections have ended only now.
             await self._close(host, table, machine_list)
         self._log.info("stopped", node=self._identity.node_id)
 
@@ -178,33 +178,33 @@
             host.leave()
             await anyio.sleep(self._settings.stop.notice_seconds)
             await self._wait_until_handed_over(host)
-            await self._shut_listener(listener)
+            await self._shut_down_listener(listener)
             callers_stop.set()
-            await operators.stop(OPERATOR_GRACE)
+            await operators.stop(OPERATOR_GRACE_SECONDS)
             admin_stop.set()
         await client.aclose()
 
     async def _wait_until_routable(self, host: ControlHost) -> None:
-        """Take no callers before it is known where their requests go, unless that takes long."""
-        with anyio.move_on_after(ROUTABLE_PATIENCE):
+        """Wait, but not for long, until this node knows where to route callers' requests."""
+        with anyio.move_on_after(ROUTABLE_TIMEOUT_SECONDS):
             while not host.core.can_route():
-                await host.wait_for_change(ROUTABLE_PATIENCE)
+                await host.wait_for_change(ROUTABLE_TIMEOUT_SECONDS)
 
     async def _wait_until_handed_over(self, host: ControlHost) -> None:
-        """Go on while this node leads a group that another could lead, but not for long."""
-        with anyio.move_on_after(HAND_OVER_PATIENCE):
+        """Wait, but not for long, while this node leads a group that another could lead."""
+        with anyio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
             while host.core.leads_any():
-                await host.wait_for_change(HAND_OVER_POLL)
+                await host.wait_for_change(HANDOVER_POLL_SECONDS)
 
-    async def _shut_listener(self, listener: socket.socket) -> None:
-        """Take no more connections, and let requests come in on those taken just before.
+    async def _shut_down_listener(self, listener: socket.socket) -> None:
+        """Accept no more connections, and wait for requests on those accepted just before.
 
-        The server's own stop closes every connection that has no request yet, among them those
-        whose request is on its way.
+        Hypercorn's stop closes every connection on which no request has arrived yet, including
+        those whose request is still in transit.
         """
         await anyio.lowlevel.checkpoint()
         listener.shutdown(socket.SHUT_RDWR)
-        await anyio.sleep(QUIET_SECONDS)
+        await anyio.sleep(NEW_CONNECTION_GRACE_SECONDS)
 
     async def _serve_callers(
         self,
@@ -214,7 +214,7 @@
         *,
         task_status: TaskStatus[None],
     ) -> None:
-        config = OwnSocketConfig()
+        config = PreboundSocketConfig()
         configure_http(config, self._settings.stop.drain_seconds)
         config.listener = listener
         task_status.started()
@@ -222,7 +222,7 @@
 
     async def _serve_admin(self, host: ControlHost, stop: anyio.Event) -> None:
         application = AdminApplication(host, self._telemetry)
-        config = http_config(self._settings.node.admin_address, ADMIN_GRACE)
+        config = http_config(self._settings.node.admin_address, ADMIN_GRACE_SECONDS)
         await serve(application, config, shutdown_trigger=stop.wait, mode="asgi")  # type: ignore[arg-type]
 
     async def _wait_for_stop_signal(self) -> None:
