--- a/src/limedeck/control/consensus.py
+++ b/src/limedeck/control/consensus.py
@@ -1,9 +1,9 @@
 """Election, leadership lease and replication of one control group by a majority of its voters.
 
-The algorithm is Raft with pre-votes and leases, with everything in memory. A restarted process
-is another voter identity, so a voter that has lost its memory never breaks a promise it made.
+The algorithm is Raft with pre-votes and leases, with all state kept in memory. A restarted
+process is a new voter identity, so a voter whose state was lost cannot break a promise it made.
 
-A voter that acknowledged an append at time *t* of its clock votes for no other before
+A voter that acknowledged an append at time *t* of its clock votes for no other node before
 ``t + election_timeout``. A leader may therefore act until ``s + leadership_lease``, where *s* is
 the latest time at which it sent an append that a majority has acknowledged.
 """
@@ -41,16 +41,15 @@
 from limedeck.keyspace.hashing import rendezvous_weight
 from limedeck.keyspace.slices import SliceMap, slice_map_from
 
-ENTRIES_PER_APPEND = 64
-"""Entries that one append carries at most."""
-SPREAD_RESOLUTION = 1 << 16
+MAX_ENTRIES_PER_APPEND = 64
+ELECTION_SPREAD_STEPS = 1 << 16
 
 
 class ConsensusCore:
-    """One node's part in one control group.
+    """Consensus state machine of one node in one control group.
 
-    A new core is passive: it knows no voters and stands in no election, until a leader sends it
-    the group's state or `start_epoch` makes it the first voter of a new epoch.
+    A new core is passive: it knows no voters and does not stand for election until a leader sends
+    it the group's state or `start_epoch` makes it the first voter of a new epoch.
     """
 
     def __init__(
@@ -80,7 +79,7 @@
         self._snapshot = GroupSnapshot()
         self._voted_for: Voter | None = None
         self._votes: set[Voter] = set()
-        self._promised_until: Seconds = NEVER
+        self._vote_withheld_until: Seconds = NEVER
         self._election_due: Seconds = now + timing.election_timeout
         self._transfer_election = False
         self._outbox: list[OutgoingMessage] = []
@@ -90,7 +89,7 @@
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """The voter set in force: the latest in the log, committed or not."""
+        """The voter set in force: the latest one in the log, whether committed or not."""
         return self._voters
 
     def _refresh_voters(self) -> None:
@@ -107,17 +106,20 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads its term, with a lease or without."""
+        """Whether this node leads its term, with or without a leadership lease."""
         return self.role is Role.LEADER
 
     @property
     def has_applied_own_entry(self) -> bool:
-        """Whether the leader's committed state is complete for its term."""
+        """Whether this node leads and has committed the entry it appended on election.
+
+        Its committed state then holds everything that was committed in earlier terms.
+        """
         state = self.leader_state
         return state is not None and self.commit_index >= state.first_index
 
     def leadership_lease_end(self) -> Seconds:
-        """Until when, on this node's clock, no other node can be elected."""
+        """Time on this node's clock before which no other node can be elected."""
         state = self.leader_state
         if state is None:
             return NEVER
@@ -133,12 +135,12 @@
         """Whether this node is the leader and its leadership lease holds at `now`."""
         return self.is_leader and now < self.leadership_lease_end()
 
-    def has_heard_leader(self, now: Seconds) -> bool:
-        """Whether another node's append came so lately that this one votes for no other."""
-        return now < self._promised_until
+    def has_recent_append(self, now: Seconds) -> bool:
+        """Whether a leader's append arrived recently enough for this voter to withhold its vote."""
+        return now < self._vote_withheld_until
 
     def snapshot(self) -> GroupSnapshot:
-        """Return the committed state, written once for each commit."""
+        """Return the committed state; the message is cached until the commit index changes."""
         if self._snapshot.last_index != self.commit_index:
             self._snapshot = GroupSnapshot(
                 last_index=self.commit_index,
@@ -153,15 +155,18 @@
     def start_epoch(self, epoch: int, snapshot: GroupSnapshot, now: Seconds) -> None:
         """Become the first and only voter of a new epoch, with the state of `snapshot`.
 
-        The caller has written the epoch to the table by compare-and-set.
+        The caller must have written the epoch to the table by compare-and-set.
         """
         base = epoch * TERMS_PER_EPOCH
         if base <= self.term:
-            raise InvariantViolation("epochs-grow", f"epoch {epoch} is not above term {self.term}")
+            raise InvariantViolation(
+                "epochs-grow",
+                f"first term of epoch {epoch} is not above the current term {self.term}",
+            )
         self.term = base
         self._become_follower(None)
         self._voted_for = None
-        self._install(
+        self._install_snapshot(
             GroupSnapshot(
                 last_index=base,
                 last_term=base,
@@ -169,12 +174,12 @@
                 assignment=snapshot.assignment,
             )
         )
-        self._promised_until = NEVER
+        self._vote_withheld_until = NEVER
         self._election_due = now
         self.validate_state("start_epoch")
 
     def handle_tick(self, now: Seconds) -> list[OutgoingMessage]:
-        """Send due appends, or stand for election when no leader was heard for too long."""
+        """Send due appends as the leader, or stand for election once its time has come."""
         if self._lost_majority(now):
             self._step_down(now)
         elif self.is_leader:
@@ -210,39 +215,40 @@
         Raises
         ------
         InvariantViolation
-            The set differs by more, or an earlier change is not committed yet.
+            The set differs by more than one voter, or an earlier change is not committed yet.
         """
         difference = set(voters) ^ set(self.voters)
         if len(difference) > 1 or set(self.voters) != set(self.committed_voters):
             raise InvariantViolation(
-                "voters-change-one-at-a-time", f"{self.voters} to {tuple(voters)}"
+                "voters-change-one-at-a-time",
+                f"cannot change voters from {self.voters} to {tuple(voters)}",
             )
         return self._append_own(LogEntry(voters=voter_set(voters)), now)
 
-    def take_applied(self) -> list[LogEntry]:
+    def drain_applied(self) -> list[LogEntry]:
         """Return the entries committed since the last call, in order."""
         applied = self._applied
         self._applied = []
         return applied
 
     def set_learners(self, learners: Sequence[Voter]) -> None:
-        """Replicate to these nodes too, without counting them (leader only)."""
+        """Replicate to these nodes too, without counting them in a majority (leader only)."""
         state = self.leader_state
         if state is None:
             return
         state.learners = [voter for voter in learners if voter not in self.voters]
 
     def has_caught_up(self, learner: Voter, now: Seconds) -> bool:
-        """Whether a learner holds everything that is committed and still answers."""
+        """Whether a learner holds every committed entry and replied within the election timeout."""
         state = self.leader_state
         progress = state.progress.get(learner) if state else None
         if progress is None:
             return False
-        answers = now - progress.last_reply_at <= self.timing.election_timeout
-        return answers and progress.match_index >= self.commit_index
+        is_responsive = now - progress.last_reply_at <= self.timing.election_timeout
+        return is_responsive and progress.match_index >= self.commit_index
 
     def last_reply_at(self, voter: Voter) -> Seconds:
-        """When the leader last heard from a follower; its election counts as hearing."""
+        """When a follower last replied to the leader, or the leader's election if that is later."""
         state = self.leader_state
         if state is None:
             return NEVER
@@ -250,13 +256,13 @@
         return max(state.elected_at, progress.last_reply_at if progress else NEVER)
 
     def transfer_leadership(self, now: Seconds) -> list[OutgoingMessage]:
-        """Give up leadership for good in this term and have the best follower elected at once."""
+        """Resign for the rest of this term and tell the most suitable follower to stand at once."""
         state = self.leader_state
         if state is None:
             return []
         candidates = [voter for voter in self.voters if voter != self.identity]
         self._become_follower(None)
-        self._promised_until = NEVER
+        self._vote_withheld_until = NEVER
         self._election_due = now + 2 * self._election_delay()
         if candidates:
             best = max(candidates, key=lambda voter: transfer_rank(state, voter))
@@ -266,16 +272,16 @@
     # ------------------------------------------------------------------ elections
 
     def _lost_majority(self, now: Seconds) -> bool:
-        """Whether a leader has had no majority's answer for so long that others should lead.
+        """Whether a leader has had no replies from a majority for too long to go on leading.
 
-        Its appends may still arrive where its answers do not come from, and would keep those
-        voters bound to it.
+        Its appends may still reach voters whose replies do not reach it; these would go on to
+        withhold their votes from other candidates.
         """
         state = self.leader_state
         if state is None:
             return False
-        heard_at = max(self.leadership_lease_end(), state.elected_at)
-        return now > heard_at + self.timing.election_timeout
+        supported_until = max(self.leadership_lease_end(), state.elected_at)
+        return now > supported_until + self.timing.election_timeout
 
     def _step_down(self, now: Seconds) -> None:
         self._become_follower(None)
@@ -311,9 +317,9 @@
                 self._send(voter, GroupMessage(vote_request=request))
 
     def _on_vote_request(self, sender: Voter, request: VoteRequest, now: Seconds) -> None:
-        bound_by_promise = now < self._promised_until and not request.leadership_transfer
+        withholds_vote = now < self._vote_withheld_until and not request.leadership_transfer
         leading = self.holds_leadership(now)
-        if bound_by_promise or leading or request.term < self.term:
+        if withholds_vote or leading or request.term < self.term:
             self._reply_to_vote(sender, request, granted=False)
             return
         up_to_date = self._log.is_up_to_date(request.last_index, request.last_term)
@@ -322,8 +328,8 @@
             return
         if request.term > self.term:
             self._adopt_term(request.term)
-        free = self._voted_for is None or self._voted_for == sender
-        granted = free and up_to_date
+        vote_available = self._voted_for is None or self._voted_for == sender
+        granted = vote_available and up_to_date
         if granted:
             self._voted_for = sender
             self._election_due = now + self._election_delay()
@@ -339,9 +345,9 @@
             if reply.term > self.term:
                 self._adopt_term(reply.term)
             return
-        wanted_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
-        wanted_term = self.term + 1 if reply.pre_vote else self.term
-        if self.role is not wanted_role or reply.term != wanted_term:
+        expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+        expected_term = self.term + 1 if reply.pre_vote else self.term
+        if self.role is not expected_role or reply.term != expected_term:
             return
         self._votes.add(sender)
         self._count_votes(now)
@@ -381,8 +387,8 @@
         self._start_vote(now)
 
     def _election_delay(self) -> Seconds:
-        draw = rendezvous_weight(f"{self.identity.node_id}/{self.term}", self.group)
-        fraction = draw % SPREAD_RESOLUTION / SPREAD_RESOLUTION
+        weight = rendezvous_weight(f"{self.identity.node_id}/{self.term}", self.group)
+        fraction = weight % ELECTION_SPREAD_STEPS / ELECTION_SPREAD_STEPS
         return self.timing.election_timeout + fraction * self.timing.election_spread
 
     # ------------------------------------------------------------------ replication
@@ -391,7 +397,7 @@
         state = self.leader_state
         if state is None:
             raise InvariantViolation(
-                "only-leaders-append", f"{self.identity.node_id} does not lead"
+                "only-leaders-append", f"{self.identity.node_id} is not the leader"
             )
         entry.index = self._log.last_index + 1
         entry.term = self.term
@@ -427,7 +433,7 @@
             progress.next_index = previous_index + 1
         request.previous_index = previous_index
         request.previous_term = previous_term
-        entries = self._log.entries_from(progress.next_index)[:ENTRIES_PER_APPEND]
+        entries = self._log.entries_from(progress.next_index)[:MAX_ENTRIES_PER_APPEND]
         request.entries.extend(entries)
         self._send(voter, GroupMessage(append_request=request))
 
@@ -437,29 +443,30 @@
             return
         if request.term == self.term and self.is_leader:
             raise InvariantViolation(
-                "one-leader-per-term", f"{sender.node_id} also leads term {self.term}"
+                "one-leader-per-term", f"{sender.node_id} also acts as leader of term {self.term}"
             )
         if request.term > self.term:
             self._adopt_term(request.term)
         self._become_follower(sender)
-        self._promised_until = now + self.timing.election_timeout
+        self._vote_withheld_until = now + self.timing.election_timeout
         self._election_due = now + self._election_delay()
         if request.HasField("snapshot"):
-            self._catch_up_with(request.snapshot)
+            self._apply_snapshot(request.snapshot)
         accepted = self._store_entries(request)
         if accepted:
-            known = request.previous_index + len(request.entries)
-            self._commit_up_to(min(request.commit_index, known))
+            last_matching_index = request.previous_index + len(request.entries)
+            self._commit_up_to(min(request.commit_index, last_matching_index))
         self._reply_to_append(sender, request, accepted)
 
-    def _catch_up_with(self, snapshot: GroupSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: GroupSnapshot) -> None:
         if snapshot.last_index <= self.commit_index:
             return
         if self._log.term_at(snapshot.last_index) == snapshot.last_term:
-            # The log holds all of it, and later entries that were already acknowledged.
+            # The log already holds all entries of the snapshot, and later ones that this voter
+            # acknowledged and must not drop.
             self._commit_up_to(snapshot.last_index)
             return
-        self._install(snapshot)
+        self._install_snapshot(snapshot)
 
     def _store_entries(self, request: AppendRequest) -> bool:
         previous_index = request.previous_index
@@ -469,10 +476,10 @@
         for entry in request.entries:
             if entry.index <= self._log.base_index:
                 continue
-            held_term = self._log.term_at(entry.index)
-            if held_term == entry.term:
+            existing_term = self._log.term_at(entry.index)
+            if existing_term == entry.term:
                 continue
-            if held_term is not None:
+            if existing_term is not None:
                 self._truncate_from(entry.index)
             self._log.append(entry)
         if request.entries:
@@ -482,7 +489,8 @@
     def _truncate_from(self, index: int) -> None:
         if index <= self.commit_index:
             raise InvariantViolation(
-                "committed-entries-survive", f"entry {index} conflicts below {self.commit_index}"
+                "committed-entries-survive",
+                f"entry {index} conflicts with a committed entry; commit index {self.commit_index}",
             )
         self._log.truncate_from(index)
 
@@ -518,9 +526,9 @@
         assert state is not None
         voters = self.voters
         matches = sorted((self._match_index(state, voter) for voter in voters), reverse=True)
-        agreed = matches[majority(len(voters)) - 1]
-        if agreed > self.commit_index and self._log.term_at(agreed) == self.term:
-            self._commit_up_to(agreed)
+        majority_index = matches[majority(len(voters)) - 1]
+        if majority_index > self.commit_index and self._log.term_at(majority_index) == self.term:
+            self._commit_up_to(majority_index)
 
     def _match_index(self, state: LeaderState, voter: Voter) -> int:
         if voter == self.identity:
@@ -557,7 +565,7 @@
                 self._base_slices.apply(entry.assignment)
         self._log.compact(target)
 
-    def _install(self, snapshot: GroupSnapshot) -> None:
+    def _install_snapshot(self, snapshot: GroupSnapshot) -> None:
         self._log = ReplicatedLog(snapshot.last_index, snapshot.last_term)
         self._snapshot = GroupSnapshot()
         self._base_slices = slice_map_from(snapshot.assignment)
@@ -580,7 +588,7 @@
         return outgoing
 
     def validate_state(self, cause: str) -> None:
-        """Assert every invariant that one node can see alone."""
+        """Check the invariants that depend on this node's state only."""
         checks = {
             "commit-within-log": self._log.base_index <= self.commit_index <= self.last_index,
             "leader-state-with-leader": self.is_leader == (self.leader_state is not None),
--- a/src/limedeck/control/consensus_state.py
+++ b/src/limedeck/control/consensus_state.py
@@ -1,4 +1,4 @@
-"""Values that consensus works with."""
+"""Roles, messages and leader state of the consensus algorithm."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from limedeck.identity import NEVER, NodeId, Seconds, Voter
 
 TERMS_PER_EPOCH = 1 << 32
-"""Terms and log indexes of a later epoch are above all of an earlier one."""
+"""Terms, and log indexes, reserved for each epoch: those of a later epoch are all higher."""
 
 
 class Role(enum.Enum):
-    """What a voter is doing in its term."""
+    """Role of a voter in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -32,18 +32,18 @@
 
 @dataclass
 class Progress:
-    """What a leader knows of one follower.
+    """Replication progress of one follower, as the leader knows it.
 
     Parameters
     ----------
     next_index
-        First entry to send next.
+        Index of the next entry to send.
     match_index
-        Last entry known to be held.
+        Index of the last entry that the follower is known to hold.
     acknowledged_sent_at
         Leader's clock when it sent the latest append that was acknowledged.
     last_reply_at
-        Leader's clock when the follower's last reply came.
+        Leader's clock when the follower's last reply arrived.
     last_sent_at
         Leader's clock at its last append to the follower.
     """
@@ -64,7 +64,7 @@
     elected_at
         Leader's clock when it won the election.
     first_index
-        Index of the entry it appended on election; it acts once that is committed.
+        Index of the entry it appended on election; the leader acts once that entry is committed.
     """
 
     elected_at: Seconds
@@ -79,16 +79,16 @@
 
 
 def voter_set(voters: Sequence[Voter]) -> VoterSet:
-    """Write voters in their message form."""
+    """Convert voters to their protobuf message."""
     return VoterSet(voters=[voter.to_message() for voter in voters])
 
 
 def voters_of(message: VoterSet) -> tuple[Voter, ...]:
-    """Read voters from their message form."""
+    """Convert a protobuf message to voters."""
     return tuple(Voter.from_message(voter) for voter in message.voters)
 
 
 def transfer_rank(state: LeaderState, voter: Voter) -> tuple[int, Seconds, NodeId]:
-    """Of the followers, the one with the highest rank should lead next."""
+    """Return the sort key of a follower; leadership is transferred to the highest."""
     progress = state.progress.get(voter, Progress(0))
     return progress.match_index, progress.last_reply_at, voter.node_id
--- a/src/limedeck/control/group_record.py
+++ b/src/limedeck/control/group_record.py
@@ -1,8 +1,8 @@
 """A control group's record in the platform's table: write-through, voter changes, recovery.
 
-The record names the voters. Before a voter change is proposed, the record names the next set too,
-so that whoever reads it knows every set that may be in force. A new epoch may be written only on
-proof that no majority of any such set can still live.
+The record names the voters. Before a voter change is proposed, the next voter set is written to the
+record too, so that a reader knows every set that may be in force. A new epoch may be written only
+on proof that no majority of any such set can still be alive.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True)
 class WriteRecord:
-    """Command: write a group's record if its row is still at a revision.
+    """Command: write a group's record if its row is still at the expected revision.
 
     Parameters
     ----------
     expected_revision
-        Revision of the row; zero when it must not exist.
+        Revision of the row; zero if the row must not exist.
     """
 
     group: GroupId
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class RecordRead:
-    """Event: the record as the table holds it; None when there is no row."""
+    """Event: the record was read; None if the table has no such row."""
 
     record: GroupRecord | None
     revision: int
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True)
 class RecordConflict:
-    """Event: the row was at another revision; nothing was written."""
+    """Event: the row was at another revision, and nothing was written."""
 
 
 @dataclass(frozen=True)
 class RecordUnavailable:
-    """Event: the table did not answer; a write may have taken effect."""
+    """Event: the table did not respond; a write may have taken effect."""
 
 
 RecordEvent = RecordRead | RecordWritten | RecordConflict | RecordUnavailable
@@ -70,22 +70,22 @@
 
 @dataclass(frozen=True)
 class LossEvidence:
-    """What proves that a run of a node is over.
+    """Evidence that a run of a node has ended.
 
     Parameters
     ----------
     machines
         Nodes on the platform's machine list, which lags but never drops a machine early;
-        None when it was never read.
+        None if the list was never read.
     runs
-        The latest known run of each node, from the node itself.
+        The latest known run of each node, as stated by the node itself.
     """
 
     machines: frozenset[NodeId] | None
     runs: dict[NodeId, Voter]
 
     def proves_loss(self, voter: Voter) -> bool:
-        """Whether this run of a node is over for certain."""
+        """Whether this run of a node has certainly ended."""
         if self.machines is not None and voter.node_id not in self.machines:
             return True
         run = self.runs.get(voter.node_id)
@@ -94,16 +94,16 @@
         return run.incarnation > voter.incarnation
 
     def proves_lost_majority(self, voters: Sequence[Voter], founder: Voter) -> bool:
-        """Whether no majority of these voters can act, once `founder` has left them."""
+        """Whether no majority of these voters can act, not counting `founder`."""
         possible = [voter for voter in voters if voter != founder and not self.proves_loss(voter)]
         return len(possible) < majority(len(voters))
 
 
 def may_start_next_epoch(record: GroupRecord, evidence: LossEvidence, founder: Voter) -> bool:
-    """Whether the record's group is lost for certain and `founder` may start it anew.
+    """Whether the record's group has certainly lost its majority and `founder` may recover it.
 
-    A founder that is a voter itself gives up its part in the old epoch by starting the next, but
-    it may do so only if others are lost too: a healthy group is never started anew.
+    A founder that is a voter itself leaves the old epoch by starting the next one. It may do so
+    only if another voter is lost too, so that a healthy group is never restarted.
     """
     voters = voters_of(record.voters)
     others = [voter for voter in voters if voter != founder]
@@ -119,7 +119,7 @@
 def next_epoch_record(
     record: GroupRecord | None, own_snapshot: GroupSnapshot, founder: Voter
 ) -> GroupRecord:
-    """Write the record of the next epoch, with the newest assignment that is known."""
+    """Build the record of the next epoch, with the newest assignment known."""
     if record is None:
         return GroupRecord(
             epoch=FIRST_EPOCH, voters=voter_set((founder,)), snapshot=GroupSnapshot()
--- a/src/limedeck/control/group_view.py
+++ b/src/limedeck/control/group_view.py
@@ -1,4 +1,4 @@
-"""What a control group is told of the world outside it, and what it wants done there."""
+"""External state that a control group is given, and its commands `PublishRoutes` and `Wake`."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 @dataclass(frozen=True)
 class GroupView:
-    """What a group knows of the world outside it.
+    """External state that a group's decisions depend on.
 
     Parameters
     ----------
     backends
         The service's configured back ends, by id.
     slices_per_backend
-        Slices for each back end in the first assignment.
+        Slices for each back end in the initial assignment.
     nodes
         Live nodes that may vote, this one included.
     evidence
-        What proves that a run of a node is over.
+        Evidence about which runs of nodes have ended.
     departing
         Nodes that are about to stop.
     leaving
-        This node is about to stop.
+        Whether this node is about to stop.
     """
 
     backends: dict[BackendId, GroupBackend] = field(default_factory=dict)
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True)
 class PublishRoutes:
-    """Command: spread a group's assignment to the routers."""
+    """Command: send an update of a group's assignment to the routers."""
 
     update: RouteUpdate
 
 
 @dataclass(frozen=True)
 class Wake:
-    """Command: deliver a tick after a delay, earlier than the next regular one."""
+    """Command: deliver an extra tick after a delay, ahead of the next regular one."""
 
     delay: Seconds
--- a/src/limedeck/control/record_keeper.py
+++ b/src/limedeck/control/record_access.py
@@ -1,4 +1,4 @@
-"""One node's access to its group's record in the table: one call at a time, at a pace."""
+"""Access of one node to its group's record in the table: one call at a time, rate-limited."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 @dataclass(frozen=True)
-class RecordContents:
-    """What tells one record of a group from another.
+class RecordSummary:
+    """Fields by which two versions of a group's record are compared.
 
     Parameters
     ----------
     last_index
-        Last log entry that the record's snapshot holds.
+        Index of the last log entry that the record's snapshot includes.
     next_voters
-        The announced voter set; empty for none.
+        The announced voter set; empty if there is none.
     """
 
     epoch: int
@@ -35,13 +35,13 @@
     next_voters: tuple[Voter, ...]
 
 
-class RecordKeeper:
-    """The record as last seen, and the call that is under way.
+class RecordAccess:
+    """The record as last seen, and the call in progress.
 
     Parameters
     ----------
     record
-        None when the table holds none, or when it is not known.
+        None if the table holds no record, or before the first read.
     is_known
         Whether `record` and `revision` are what the table was last seen to hold.
     """
@@ -52,13 +52,13 @@
         self.record: GroupRecord | None = None
         self.is_known = False
         self._revision = 0
-        self._is_busy = False
+        self._call_in_progress = False
         self._pending: GroupRecord | None = None
-        self._next_access: Seconds = NEVER
+        self._next_call_at: Seconds = NEVER
 
     @property
     def epoch(self) -> int:
-        """Epoch of the record as last seen, zero for none."""
+        """Epoch of the record as last seen; zero if there is none."""
         return self.record.epoch if self.record is not None else 0
 
     @property
@@ -67,50 +67,50 @@
         return voters_of(self.record.voters) if self.record is not None else ()
 
     @property
-    def contents(self) -> RecordContents | None:
-        """What the table was last seen to hold."""
+    def summary(self) -> RecordSummary | None:
+        """Summary of the record as last seen; None if there is none."""
         if self.record is None:
             return None
         next_voters = voters_of(self.record.next_voters)
-        return RecordContents(self.record.epoch, self.record.snapshot.last_index, next_voters)
+        return RecordSummary(self.record.epoch, self.record.snapshot.last_index, next_voters)
 
     def may_access(self, now: Seconds, urgent: bool = False) -> bool:
-        """Whether a call may be made now; an urgent one does not wait for the pace."""
-        return not self._is_busy and (urgent or now >= self._next_access)
+        """Whether a call may be made now; urgent calls ignore the minimum interval."""
+        return not self._call_in_progress and (urgent or now >= self._next_call_at)
 
-    def forget(self) -> None:
-        """Have the record read again before it is written."""
+    def invalidate(self) -> None:
+        """Require the record to be read again before it is written."""
         self.is_known = False
 
     def read(self, now: Seconds) -> RecordCommand:
-        """Begin to read the record."""
-        self._begin(now)
+        """Start a read of the record."""
+        self._begin_call(now)
         return ReadRecord(self.group)
 
     def write(self, record: GroupRecord, now: Seconds) -> RecordCommand:
-        """Begin to write the record in place of the one last seen."""
-        self._begin(now)
+        """Start a write that replaces the record last seen."""
+        self._begin_call(now)
         self._pending = record
         return WriteRecord(self.group, record, self._revision)
 
     def handle(self, event: RecordEvent) -> bool:
-        """Take in the answer; return whether the record is known now."""
-        self._is_busy = False
+        """Handle the response to a call; return whether the record is known now."""
+        self._call_in_progress = False
         pending, self._pending = self._pending, None
         if isinstance(event, RecordRead):
-            self._see(event.record, event.revision)
+            self._set_record(event.record, event.revision)
         elif isinstance(event, RecordWritten):
-            self._see(pending, event.revision)
+            self._set_record(pending, event.revision)
         else:
-            # Whether a write without an answer took effect is settled by reading the row again.
+            # Reading the row again shows whether a write without a response took effect.
             self.is_known = False
         return self.is_known
 
-    def _begin(self, now: Seconds) -> None:
-        self._is_busy = True
-        self._next_access = now + self.timing.record_write_interval
+    def _begin_call(self, now: Seconds) -> None:
+        self._call_in_progress = True
+        self._next_call_at = now + self.timing.record_write_interval
 
-    def _see(self, record: GroupRecord | None, revision: int) -> None:
+    def _set_record(self, record: GroupRecord | None, revision: int) -> None:
         self.record = record
         self._revision = revision
         self.is_known = True
--- a/src/limedeck/control/replicated_log.py
+++ b/src/limedeck/control/replicated_log.py
@@ -1,4 +1,4 @@
-"""A log of entries after a snapshot, kept in memory."""
+"""In-memory log of the entries that follow a snapshot."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class ReplicatedLog:
-    """Entries with consecutive indexes after a base that a snapshot stands for.
+    """Entries with consecutive indexes; a snapshot replaces those up to the base index.
 
     Parameters
     ----------
     base_index, base_term
-        Index and term of the last entry that the snapshot holds.
+        Index and term of the last entry that the snapshot includes.
     """
 
     def __init__(self, base_index: int = 0, base_term: int = 0) -> None:
@@ -45,7 +45,7 @@
         return self._entries[index - self.base_index - 1]
 
     def entries_from(self, index: int) -> list[LogEntry]:
-        """Return the entries from this index on."""
+        """Return the entries from this index to the end."""
         return self._entries[max(index - self.base_index - 1, 0) :]
 
     def entries_after_base(self) -> list[LogEntry]:
@@ -53,19 +53,19 @@
         return list(self._entries)
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry."""
+        """Append an entry, whose index must follow the last one."""
         if entry.index != self.last_index + 1:
             raise InvariantViolation(
-                "log-is-contiguous", f"entry {entry.index} after {self.last_index}"
+                "log-is-contiguous", f"entry {entry.index} appended after entry {self.last_index}"
             )
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from this index on."""
+        """Drop the entries from this index to the end."""
         del self._entries[max(index - self.base_index - 1, 0) :]
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to this index, which a snapshot now holds."""
+        """Drop the entries up to and including this index, which a snapshot now includes."""
         term = self.term_at(index)
         if term is None:
             raise LookupError(index)
@@ -74,5 +74,5 @@
         self.base_term = term
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so holds at least what this one does."""
+        """Whether a log with this last entry is at least as up to date as this one."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
--- a/tests/unit/test_consensus.py
+++ b/tests/unit/test_consensus.py
@@ -10,31 +10,31 @@
 from tests.unit.consensus_cluster import GROUP, LIMITS, TIMING, ConsensusCluster, voter
 
 
-def running(size: int = 3) -> ConsensusCluster:
+def running_cluster(size: int = 3) -> ConsensusCluster:
     cluster = ConsensusCluster([f"n{index}" for index in range(size)])
     cluster.run(2.0)
     return cluster
 
 
-@pytest.mark.parametrize(("count", "wanted"), [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)])
-def test_majority(count: int, wanted: int) -> None:
-    assert majority(count) == wanted
+@pytest.mark.parametrize(("count", "expected"), [(1, 1), (2, 2), (3, 2), (4, 3), (5, 3)])
+def test_majority(count: int, expected: int) -> None:
+    assert majority(count) == expected
 
 
 def test_one_leader_is_elected_and_commits_its_entry() -> None:
-    cluster = running()
+    cluster = running_cluster()
     assert cluster.leader().has_applied_own_entry
 
 
 def test_committed_changes_reach_every_voter() -> None:
-    cluster = running()
+    cluster = running_cluster()
     cluster.leader().propose_assignment(change_of([(0, "a"), (9, "b")]), cluster.now)
     cluster.run(0.5)
     assert all(core.slices.locate(10).owner == "b" for core in cluster.cores.values())
 
 
-def test_a_frozen_leader_has_no_lease_when_it_thaws_and_another_leads() -> None:
-    cluster = running()
+def test_a_frozen_leader_has_no_lease_when_it_resumes_and_another_leads() -> None:
+    cluster = running_cluster()
     old = cluster.leader()
     cluster.frozen = {old.identity.node_id}
     cluster.run(3.0)
@@ -46,8 +46,8 @@
     assert not old.is_leader
 
 
-def test_no_second_leader_before_the_first_ones_lease_is_over() -> None:
-    cluster = running()
+def test_no_second_leader_before_the_first_leaders_lease_ends() -> None:
+    cluster = running_cluster()
     old = cluster.leader()
     cluster.cut = {old.identity.node_id}
     while not any(core is not old for core in cluster.leaders()):
@@ -56,55 +56,55 @@
     assert not old.holds_leadership(cluster.now)
 
 
-def test_a_leader_that_hears_no_answers_makes_way_although_it_is_heard() -> None:
-    cluster = running()
+def test_a_leader_that_receives_no_replies_steps_down_although_its_appends_arrive() -> None:
+    cluster = running_cluster()
     old = cluster.leader()
-    cluster.deaf = {old.identity.node_id}
+    cluster.receive_blocked = {old.identity.node_id}
     cluster.run(3.0)
     assert not old.is_leader
     assert cluster.leader() is not old
 
 
-def test_a_voter_bound_by_its_promise_votes_for_nobody_else() -> None:
-    cluster = running()
+def test_a_voter_that_acknowledged_a_leader_votes_for_no_other_candidate() -> None:
+    cluster = running_cluster()
     follower = next(core for core in cluster.cores.values() if not core.is_leader)
     other = next(
         core for core in cluster.cores.values() if not core.is_leader and core is not follower
     )
-    cluster.take(other.identity, [])
+    cluster.send(other.identity, [])
     other._start_vote(cluster.now)
-    cluster.take(other.identity, other._finish("test"))
+    cluster.send(other.identity, other._finish("test"))
     cluster.deliver_all()
     assert not other.is_leader
 
 
 def test_a_transfer_ends_leadership_at_once_and_another_is_elected() -> None:
-    cluster = running()
+    cluster = running_cluster()
     old = cluster.leader()
-    cluster.take(old.identity, old.transfer_leadership(cluster.now))
+    cluster.send(old.identity, old.transfer_leadership(cluster.now))
     assert not old.holds_leadership(cluster.now)
     cluster.deliver_all()
     assert cluster.leader() is not old
 
 
 def test_a_late_transfer_order_of_an_earlier_term_is_ignored() -> None:
-    cluster = running()
+    cluster = running_cluster()
     follower = next(core for core in cluster.cores.values() if not core.is_leader)
     order = GroupMessage(group=GROUP, timeout_now=TimeoutNow(term=follower.term - 1))
     assert follower.handle_message(cluster.leader().identity, order, cluster.now) == []
 
 
-def test_a_restarted_node_is_no_voter_until_it_is_admitted() -> None:
-    cluster = running()
+def test_a_restarted_node_is_not_a_voter_until_it_is_admitted() -> None:
+    cluster = running_cluster()
     name = next(core.identity.node_id for core in cluster.cores.values() if not core.is_leader)
-    fresh = cluster.restart(name, 2)
+    restarted = cluster.restart(name, 2)
     cluster.run(2.0)
-    assert fresh.voters == ()
-    assert fresh.identity not in cluster.leader().voters
+    assert restarted.voters == ()
+    assert restarted.identity not in cluster.leader().voters
 
 
 def test_a_lagging_learner_gets_a_snapshot_and_can_be_admitted() -> None:
-    cluster = running()
+    cluster = running_cluster()
     leader = cluster.leader()
     for index in range(30):
         leader.propose_assignment(change_of([(0, f"owner-{index}")]), cluster.now)
@@ -122,14 +122,14 @@
 
 
 def test_voters_change_only_one_at_a_time() -> None:
-    cluster = running()
+    cluster = running_cluster()
     leader = cluster.leader()
     with pytest.raises(InvariantViolation):
         leader.propose_voters([leader.identity], cluster.now)
 
 
 def test_nothing_is_committed_without_a_majority() -> None:
-    cluster = running()
+    cluster = running_cluster()
     leader = cluster.leader()
     before = leader.commit_index
     cluster.cut = {core.identity.node_id for core in cluster.cores.values() if core is not leader}
@@ -138,8 +138,8 @@
     assert leader.commit_index == before
 
 
-def test_an_uncommitted_entry_gives_way_to_the_new_leaders() -> None:
-    cluster = running()
+def test_an_uncommitted_entry_is_replaced_by_the_new_leaders_entry() -> None:
+    cluster = running_cluster()
     old = cluster.leader()
     cluster.cut = {old.identity.node_id}
     old.propose_assignment(change_of([(0, "lost")]), cluster.now)
@@ -150,8 +150,8 @@
     assert {core.slices.locate(0).owner for core in cluster.cores.values()} == {"kept"}
 
 
-def test_a_new_epoch_stands_above_every_term_of_the_one_before() -> None:
-    cluster = running()
+def test_a_new_epoch_starts_above_every_term_of_the_previous_one() -> None:
+    cluster = running_cluster()
     core = ConsensusCore(GROUP, voter("n9"), TIMING, LIMITS, cluster.now)
     core.start_epoch(2, GroupSnapshot(), cluster.now)
     core.handle_tick(cluster.now)
@@ -160,7 +160,7 @@
     assert core.holds_leadership(cluster.now + 1e6)
 
 
-def test_an_epoch_that_is_not_above_is_refused() -> None:
+def test_an_epoch_not_above_the_current_term_is_refused() -> None:
     core = ConsensusCore(GROUP, voter("n9"), TIMING, LIMITS, 0.0)
     core.start_epoch(2, GroupSnapshot(), 0.0)
     with pytest.raises(InvariantViolation):
--- a/tests/unit/test_consensus_stateful.py
+++ b/tests/unit/test_consensus_stateful.py
@@ -1,4 +1,4 @@
-"""Consensus under drawn schedules: delivery in any order, loss, doubling, freezes, restarts."""
+"""Consensus under random schedules: reordering, loss and duplication, freezes, restarts."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class ConsensusMachine(RuleBasedStateMachine):
-    """Three voters; at most one ever restarts, so that a majority remembers its promises."""
+    """Three voters; at most one ever restarts, so that a majority keeps its votes and promises."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
 
     @rule(seconds=st.sampled_from([0.2, 0.6, 1.2]))
     def run_well(self, seconds: float) -> None:
-        """Let time pass with every message delivered, but for those to or from cut-off nodes."""
+        """Advance the time and deliver all messages except to or from cut-off or frozen nodes."""
         self.cluster.run(seconds)
 
     @precondition(lambda self: self.cluster.in_transit)
@@ -71,12 +71,12 @@
             self.proposals += 1
             change = change_of([(0, f"owner-{self.proposals}")])
             core.propose_assignment(change, self.cluster.now)
-            self.cluster.take(core.identity, core._finish("propose"))
+            self.cluster.send(core.identity, core._finish("propose"))
 
     @rule()
     def transfer(self) -> None:
         for core in self.cluster.leaders():
-            self.cluster.take(core.identity, core.transfer_leadership(self.cluster.now))
+            self.cluster.send(core.identity, core.transfer_leadership(self.cluster.now))
 
     @invariant()
     def one_leader_at_a_time(self) -> None:
--- a/tests/unit/test_group.py
+++ b/tests/unit/test_group.py
@@ -1,4 +1,4 @@
-"""Founding a group anew: whoever may be the founder looks at the record."""
+"""Recovery of a group: every node that may be the founder reads the record."""
 
 from limedeck.api.peer_pb2 import GroupRecord, GroupSnapshot
 from limedeck.control.consensus_state import voter_set
@@ -35,12 +35,14 @@
 
 def core_with_state(identity: Voter, voters: tuple[Voter, ...]) -> GroupCore:
     core = GroupCore(GROUP, identity, TIMING, ControlLimits(), 0.0)
-    core.consensus._install(GroupSnapshot(last_index=9, last_term=0, voters=voter_set(voters)))
+    core.consensus._install_snapshot(
+        GroupSnapshot(last_index=9, last_term=0, voters=voter_set(voters))
+    )
     return core
 
 
-def test_a_voter_that_does_not_know_yet_that_it_votes_founds_the_group_anew() -> None:
-    """Its own log ends before the entry that admitted it; the record names it as the last left."""
+def test_the_voter_admitted_last_recovers_the_group_before_it_knows_that_it_votes() -> None:
+    """Its log ends before the entry that admitted it; the record names it, the only voter left."""
     core = core_with_state(ADMITTED_LAST, (voter("f", 12), voter("r", 10)))
     now = TIMING.election_timeout * 3
     commands = core.handle_tick(view(), now)
@@ -54,11 +56,11 @@
     core.handle_tick(view(), now + TIMING.tick_interval)
     assert core.consensus.is_leader
     assert not core.may_grant(now + TIMING.backend_lease)
-    held = now + TIMING.election_timeout + TIMING.longest_backend_lease
-    assert core.may_grant(held + TIMING.tick_interval)
+    grants_blocked_until = now + TIMING.election_timeout + TIMING.longest_backend_lease
+    assert core.may_grant(grants_blocked_until + TIMING.tick_interval)
 
 
-def test_a_node_without_a_copy_leaves_the_record_to_the_first_in_line() -> None:
+def test_without_a_copy_only_the_first_node_by_hash_reads_the_record() -> None:
     readers = [
         identity
         for identity in ALL_NODES
