--- a/src/limedeck/control/consensus.py
+++ b/src/limedeck/control/consensus.py
@@ -179,7 +179,7 @@
         self.validate_state("start_epoch")
 
     def handle_tick(self, now: Seconds) -> list[OutgoingMessage]:
-        """Send due appends as the leader, or stand for election once its time has come."""
+        """Send due appends as the leader, or stand for election when an election is due."""
         if self._lost_majority(now):
             self._step_down(now)
         elif self.is_leader:
