--- a/src/limedeck/control/assignment_leader.py
+++ b/src/limedeck/control/assignment_leader.py
@@ -1,4 +1,4 @@
-"""What a group's leader does with slices: assigns, moves, and grants them by leases."""
+"""Slices of a group, as its leader assigns, moves and grants them by leases."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from limedeck.keyspace.planning import initial_assignment
 from limedeck.keyspace.slices import Slice, change_of
 
-FIRST_ASSIGNMENT_PATIENCE: Seconds = 1.0
-"""How long a new group waits for back ends that do not answer before it assigns the line."""
+FIRST_ASSIGNMENT_MAX_WAIT: Seconds = 1.0
+"""Maximum time a new group waits for unresponsive back ends before it assigns the key space."""
 
 
 class AssignmentLeader:
-    """Slices of one group in one term of its leader.
+    """State machine that assigns the slices of one group during one term of its leader.
 
     Parameters
     ----------
     consensus
-        The group's consensus, whose term this node leads.
+        Consensus of the group, in the term that this node leads.
     elected_at
-        Leader's clock when its term began.
+        Time on the leader's clock when its term began.
     """
 
     def __init__(
@@ -44,27 +44,27 @@
         self._timing = timing
         self._limits = limits
         self._budget = MoveBudget()
-        self._first_assignment_due = elected_at + FIRST_ASSIGNMENT_PATIENCE
+        self._first_assignment_deadline = elected_at + FIRST_ASSIGNMENT_MAX_WAIT
         self._first_assignment_index = 0
         self._slices_by_owner: dict[BackendId, tuple[Slice, ...]] = {}
         self._slices_by_owner_index = 0
 
     def plan(self, view: GroupView, may_grant: bool, now: Seconds) -> None:
-        """Take up the view; begin the first assignment or the moves that are wanted."""
+        """Replace the view, and propose the first assignment or start the moves it requires."""
         self.view = view
         self.leases.track({item.backend_id: item.address for item in view.backends.values()})
         if len(self._consensus.slices) == 0:
-            self._assign_first(may_grant, now)
+            self._propose_first_assignment(may_grant, now)
         elif may_grant and not view.leaving:
             self._plan_moves(now)
 
     def advance(self, may_grant: bool, now: Seconds) -> None:
-        """Let the moves under way go as far as they can."""
+        """Advance the moves in progress as far as possible."""
         self._finish_moves(now)
         self._advance_moves(may_grant, now)
 
     def silent_owners(self, now: Seconds) -> list[BackendId]:
-        """Owners of slices that do not answer."""
+        """Owners of slices that are unresponsive."""
         return [
             owner
             for owner in self._consensus.slices.owners()
@@ -75,7 +75,7 @@
     def handle_reply(
         self, backend_id: BackendId, fence: Fence, reply: LeaseReply, now: Seconds
     ) -> bool:
-        """Take in a back end's reply; return whether it still has to release slices."""
+        """Apply a back end's reply; return whether it still has to release slices."""
         self.leases.handle_reply(backend_id, fence, reply, now)
         return backend_id in self.moves.releasing_sources()
 
@@ -84,23 +84,23 @@
         return [
             backend_id
             for backend_id, lease in sorted(self.leases.backends.items())
-            if self._wants_slices(backend_id)
+            if self._is_assignable(backend_id)
             and not lease.draining
             and lease.is_responsive(now, self._timing)
         ]
 
-    def _wants_slices(self, backend_id: BackendId) -> bool:
+    def _is_assignable(self, backend_id: BackendId) -> bool:
         configured = self.view.backends.get(backend_id)
         return configured is not None and not configured.draining
 
-    def _assign_first(self, may_grant: bool, now: Seconds) -> None:
+    def _propose_first_assignment(self, may_grant: bool, now: Seconds) -> None:
         if self._first_assignment_index or not may_grant:
             return
-        wanted = [item for item in self.view.backends if self._wants_slices(item)]
+        assignable = [item for item in self.view.backends if self._is_assignable(item)]
         receivers = self._receivers(now)
-        if not wanted or len(receivers) == 0:
+        if not assignable or len(receivers) == 0:
             return
-        if len(receivers) < len(wanted) and now < self._first_assignment_due:
+        if len(receivers) < len(assignable) and now < self._first_assignment_deadline:
             return
         change = initial_assignment(receivers, self.view.slices_per_backend)
         self._first_assignment_index = self._consensus.propose_assignment(change, now)
@@ -114,7 +114,7 @@
                 self.moves.drop(move)
             elif now - move.phase_since >= self._timing.warm_period:
                 move.enter(MovePhase.RELEASING, now)
-                self._hasten_exchange(move.source, now)
+                self._schedule_exchange_now(move.source, now)
         released = []
         for move in self.moves.in_phase(MovePhase.RELEASING):
             if move.target not in receivers:
@@ -142,7 +142,7 @@
         if len(self.moves) == 0:
             return
         for move in self.moves.finish_committed(self._consensus.commit_index):
-            self._hasten_exchange(move.target, now)
+            self._schedule_exchange_now(move.target, now)
 
     def _plan_moves(self, now: Seconds) -> None:
         slices = self._consensus.slices
@@ -152,7 +152,7 @@
         leaving = {
             owner
             for owner in slices.owners() - lost
-            if not self._wants_slices(owner) or self._is_draining(owner)
+            if not self._is_assignable(owner) or self._is_draining(owner)
         }
         balance = BalanceView(
             slices=slices,
@@ -173,33 +173,33 @@
         lease = self.leases.lease(backend_id)
         return lease is not None and lease.draining
 
-    def _hasten_exchange(self, backend_id: BackendId, now: Seconds) -> None:
+    def _schedule_exchange_now(self, backend_id: BackendId, now: Seconds) -> None:
         lease = self.leases.lease(backend_id)
         if lease is not None:
             lease.next_exchange_at = now
 
     def due_exchanges(self, may_grant: bool, now: Seconds) -> list[LeaseExchange]:
-        """Begin the lease exchanges that are due; without the right to grant, they own nothing."""
+        """Start the lease exchanges that are due; unless `may_grant`, they grant no slices."""
         for backend_id in sorted(self.moves.releasing_sources()):
-            self._poll_release(backend_id)
+            self._schedule_release_poll(backend_id)
         due = self.leases.due(now)
         if not due:
             return []
         withheld = self.moves.withheld_starts()
         exchanges = []
         for lease in due:
-            owned = self._grantable(lease.backend_id, withheld) if may_grant else ()
+            owned = self._grantable_slices(lease.backend_id, withheld) if may_grant else ()
             warm = self._warm_slices(lease.backend_id)
             exchanges.append(self.leases.start_exchange(lease, owned, warm, now))
         return exchanges
 
-    def _poll_release(self, backend_id: BackendId) -> None:
+    def _schedule_release_poll(self, backend_id: BackendId) -> None:
         lease = self.leases.lease(backend_id)
         if lease is not None:
             poll_at = lease.exchange_sent_at + self._timing.release_poll_interval
             lease.next_exchange_at = min(lease.next_exchange_at, poll_at)
 
-    def _grantable(self, backend_id: BackendId, withheld: set[int]) -> tuple[Slice, ...]:
+    def _grantable_slices(self, backend_id: BackendId, withheld: set[int]) -> tuple[Slice, ...]:
         if self._slices_by_owner_index != self._consensus.commit_index:
             self._index_slices_by_owner()
         slices = self._slices_by_owner.get(backend_id, ())
--- a/src/limedeck/control/balancing.py
+++ b/src/limedeck/control/balancing.py
@@ -1,4 +1,4 @@
-"""Which moves a group's leader should start next."""
+"""Planning of the moves that a group's leader starts next."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from limedeck.keyspace.slices import NO_OWNER, SliceMap
 
 BUDGET_BURST_FRACTION = 0.25
-"""Part of a minute's moves that may be started at once."""
+"""Fraction of a minute's moves that may be started at once."""
 
 
 @dataclass
@@ -23,10 +23,10 @@
 
     tokens: float = 0.0
     refilled_at: Seconds = float("-inf")
-    next_look_at: Seconds = float("-inf")
+    next_check_at: Seconds = float("-inf")
 
     def refill(self, limits: ControlLimits, now: Seconds) -> None:
-        """Add the tokens that have become due."""
+        """Add the tokens earned since the last refill, up to the burst limit."""
         capacity = limits.moves_per_minute * BUDGET_BURST_FRACTION
         earned = (now - self.refilled_at) * limits.moves_per_minute / 60
         self.tokens = min(capacity, self.tokens + earned)
@@ -35,7 +35,7 @@
 
 @dataclass
 class NextMoves:
-    """Moves to begin, and splits or merges to commit."""
+    """Moves to start, and splits or merges to commit."""
 
     moves: list[MoveProgress] = field(default_factory=list)
     reshape: AssignmentChange = field(default_factory=AssignmentChange)
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True)
 class BalanceView:
-    """What the planner looks at.
+    """Input of the planner.
 
     Parameters
     ----------
     lost
-        Owners whose lease has lapsed without a reply.
+        Owners whose lease has lapsed and that are not among the receivers.
     leaving
-        Owners that are drained or no longer configured.
+        Owners that are draining or no longer configured.
     receivers
         Back ends that may be given slices.
     minimum_slices
-        Slices that merging leaves at least.
+        Minimum number of slices that merging leaves.
     """
 
     slices: SliceMap
@@ -73,22 +73,22 @@
     limits: ControlLimits,
     now: Seconds,
 ) -> NextMoves:
-    """Plan moves away from lost and leaving back ends first, then towards balance."""
+    """Plan moves: first away from lost, then from leaving back ends, then to balance load."""
     if not view.receivers:
         return NextMoves()
     urgent = _plan_lost(view, now)
     if urgent:
         return NextMoves(urgent)
-    room = limits.concurrent_moves - len(view.moves)
-    if room <= 0:
+    free_slots = limits.concurrent_moves - len(view.moves)
+    if free_slots <= 0:
         return NextMoves()
     if view.leaving:
-        return NextMoves(_plan_leaving(view, room, now))
-    if now < budget.next_look_at:
+        return NextMoves(_plan_leaving(view, free_slots, now))
+    if now < budget.next_check_at:
         return NextMoves()
-    budget.next_look_at = now + timing.rebalance_interval
+    budget.next_check_at = now + timing.rebalance_interval
     budget.refill(limits, now)
-    return _plan_balance(view, budget, room, now)
+    return _plan_balance(view, budget, free_slots, now)
 
 
 def _measured_loads(view: BalanceView) -> dict[int, float]:
@@ -106,32 +106,34 @@
         return []
     loads = _measured_loads(view)
     planned = plan_evacuation(view.slices, loads, view.lost, view.receivers)
-    begun = []
+    started = []
     for move in planned:
-        present = view.moves.get(move.start)
-        if present is None or present.phase is MovePhase.WARMING:
-            begun.append(_progress(move, MovePhase.RELEASING, now))
-    return begun
+        current = view.moves.get(move.start)
+        if current is None or current.phase is MovePhase.WARMING:
+            started.append(_start_move(move, MovePhase.RELEASING, now))
+    return started
 
 
-def _plan_leaving(view: BalanceView, room: int, now: Seconds) -> list[MoveProgress]:
+def _plan_leaving(view: BalanceView, free_slots: int, now: Seconds) -> list[MoveProgress]:
     loads = _measured_loads(view)
     planned = plan_evacuation(view.slices, loads, view.leaving, view.receivers)
-    fresh = [move for move in planned if move.start not in view.moves]
-    return [_progress(move, MovePhase.WARMING, now) for move in fresh[:room]]
+    new_moves = [move for move in planned if move.start not in view.moves]
+    return [_start_move(move, MovePhase.WARMING, now) for move in new_moves[:free_slots]]
 
 
-def _plan_balance(view: BalanceView, budget: MoveBudget, room: int, now: Seconds) -> NextMoves:
+def _plan_balance(
+    view: BalanceView, budget: MoveBudget, free_slots: int, now: Seconds
+) -> NextMoves:
     if len(view.moves) > 0:
         return NextMoves()
-    allowed = min(room, int(budget.tokens))
+    allowed = min(free_slots, int(budget.tokens))
     step = plan_balance_step(
         view.slices, _measured_loads(view), view.receivers, allowed, view.minimum_slices
     )
     budget.tokens -= len(step.moves)
-    moves = [_progress(move, MovePhase.WARMING, now) for move in step.moves]
+    moves = [_start_move(move, MovePhase.WARMING, now) for move in step.moves]
     return NextMoves(moves, step.reshape)
 
 
-def _progress(move: Move, phase: MovePhase, now: Seconds) -> MoveProgress:
+def _start_move(move: Move, phase: MovePhase, now: Seconds) -> MoveProgress:
     return MoveProgress(move.start, move.source, move.target, phase, now)
--- a/src/limedeck/control/dissemination.py
+++ b/src/limedeck/control/dissemination.py
@@ -1,8 +1,9 @@
-"""How assignments and configuration reach every node: relays by zone, versions and deltas.
+"""Dissemination of assignments and configuration to every node through relays in each zone.
 
-Whoever has something new sends it to each zone's relays, which pass it on within their zone.
-Anti-entropy repairs what was missed: every node sends a short digest to one relay in turn, and
-only where digests differ are versions listed and whole states sent.
+A node that publishes an update sends it to each zone's relays, which forward it within their
+zone. Updates are deltas between versions. Anti-entropy repairs missed updates: every node
+periodically sends a short digest to one of the relays in turn; only if the digests differ are
+versions exchanged and snapshots sent.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 
 
 def zone_relays(nodes: Sequence[Voter], zone: str, count: int) -> list[Voter]:
-    """Nodes of a zone that pass updates on: the same ones in every node's eyes."""
+    """Choose the nodes of a zone that forward updates; every node chooses the same ones."""
     in_zone = [node for node in nodes if node.zone == zone]
     in_zone.sort(key=lambda node: -rendezvous_weight(node.node_id, RELAY_SEED))
     return in_zone[:count]
 
 
 class DisseminationCore:
-    """Spreads what this node learns, and keeps its own copies up to date."""
+    """Distributes updates from this node and keeps its own routes and configuration up to date."""
 
     def __init__(
         self,
@@ -60,21 +61,21 @@
 
     @property
     def is_relay(self) -> bool:
-        """Whether this node passes updates on within its zone."""
+        """Whether this node forwards updates within its zone."""
         return self.identity in self._relays.get(self.identity.zone, ())
 
     def set_nodes(self, staying: Sequence[Voter], reachable: Sequence[Voter]) -> None:
-        """Take up a changed membership.
+        """Replace the known nodes and choose the relays of each zone.
 
         Parameters
         ----------
         staying
-            Nodes that may pass updates on.
+            Nodes that may be chosen as relays.
         reachable
-            Nodes that need updates: those, and the ones that still serve before they stop.
+            Nodes that need updates: the staying nodes and those that still serve before they stop.
         """
         if len(reachable) > len(self._nodes):
-            # What a new neighbour has may be newer: a started node asks at once.
+            # A new node may have newer state, so a node that has just started syncs at once.
             self._next_sync_at = NEVER
         self._nodes = tuple(reachable)
         count = self.limits.relays_per_zone
@@ -86,44 +87,44 @@
     # ------------------------------------------------------------------ events
 
     def publish_routes(self, update: RouteUpdate) -> list[Deliver]:
-        """Spread an assignment that this node has decided."""
+        """Apply and broadcast an assignment that this node has decided."""
         self.routes.apply(update)
-        self._send_everywhere(PeerMessage(route_update=update))
-        return self._finish()
+        self._broadcast(PeerMessage(route_update=update))
+        return self._drain_outbox()
 
     def publish_config(self, update: ConfigUpdate) -> list[Deliver]:
-        """Spread a configuration that this node has read from the table or had accepted."""
+        """Broadcast a configuration that the table accepted or that this node read from it."""
         if self.config.apply(update) is UpdateOutcome.APPLIED:
-            self._send_everywhere(PeerMessage(config_update=update))
-        return self._finish()
+            self._broadcast(PeerMessage(config_update=update))
+        return self._drain_outbox()
 
     def handle_route_update(self, sender: Voter, update: RouteUpdate) -> list[Deliver]:
-        """Take in an assignment and pass it on if that is this node's part."""
+        """Apply an assignment and forward it if this node is a relay."""
         outcome = self.routes.apply(update)
-        self._follow_up(sender, outcome, PeerMessage(route_update=update))
-        return self._finish()
+        self._handle_outcome(sender, outcome, PeerMessage(route_update=update))
+        return self._drain_outbox()
 
     def handle_config_update(self, sender: Voter, update: ConfigUpdate) -> list[Deliver]:
-        """Take in a configuration and pass it on if that is this node's part."""
+        """Apply a configuration and forward it if this node is a relay."""
         outcome = self.config.apply(update)
-        self._follow_up(sender, outcome, PeerMessage(config_update=update))
-        return self._finish()
+        self._handle_outcome(sender, outcome, PeerMessage(config_update=update))
+        return self._drain_outbox()
 
     def handle_digest(self, sender: Voter, digest: SyncDigest) -> list[Deliver]:
-        """Send what the sender lacks, and ask for what this node lacks."""
+        """Send the state that the sender lacks, and request the state that this node lacks."""
         if digest.config_revision < self.config.revision:
             self._send(sender, PeerMessage(config_update=self.config.whole()))
         if digest.detailed:
-            self._answer_detailed(sender, digest)
+            self._respond_to_detailed_digest(sender, digest)
         elif (
             digest.routes_checksum != self.routes.checksum()
             or digest.config_revision > self.config.revision
         ):
             self._send(sender, PeerMessage(sync_digest=self._digest(detailed=True)))
-        return self._finish()
+        return self._drain_outbox()
 
     def handle_tick(self, now: Seconds) -> list[Deliver]:
-        """Send the digest that is due."""
+        """Send a digest if one is due."""
         if now < self._next_sync_at:
             return []
         self._next_sync_at = now + self.timing.sync_interval
@@ -131,11 +132,11 @@
         partner = self._sync_partner()
         if partner is not None:
             self._send(partner, PeerMessage(sync_digest=self._digest(detailed=False)))
-        return self._finish()
+        return self._drain_outbox()
 
     # ------------------------------------------------------------------ helpers
 
-    def _follow_up(self, sender: Voter, outcome: UpdateOutcome, message: PeerMessage) -> None:
+    def _handle_outcome(self, sender: Voter, outcome: UpdateOutcome, message: PeerMessage) -> None:
         if outcome is UpdateOutcome.GAP:
             self._send(sender, PeerMessage(sync_digest=self._digest(detailed=True)))
         elif outcome is UpdateOutcome.APPLIED and self.is_relay:
@@ -143,7 +144,7 @@
                 if node.zone == self.identity.zone and node != sender:
                     self._send(node, message)
 
-    def _send_everywhere(self, message: PeerMessage) -> None:
+    def _broadcast(self, message: PeerMessage) -> None:
         targets = [relay for relays in self._relays.values() for relay in relays]
         if self.is_relay:
             targets += [node for node in self._nodes if node.zone == self.identity.zone]
@@ -151,18 +152,18 @@
             self._send(target, message)
 
     def _sync_partner(self) -> Voter | None:
-        partners = self._own_relays()
+        partners = self._relays_of_own_zone()
         if not partners or (self.is_relay and self._sync_round % 2 == 0):
-            partners = self._other_relays() or partners
+            partners = self._relays_of_other_zones() or partners
         if not partners:
             return None
         return partners[self._sync_round // 2 % len(partners)]
 
-    def _own_relays(self) -> list[Voter]:
+    def _relays_of_own_zone(self) -> list[Voter]:
         relays = self._relays.get(self.identity.zone, [])
         return [relay for relay in relays if relay != self.identity]
 
-    def _other_relays(self) -> list[Voter]:
+    def _relays_of_other_zones(self) -> list[Voter]:
         return [
             relay
             for zone, relays in sorted(self._relays.items())
@@ -178,22 +179,22 @@
             groups=self.routes.versions() if detailed else [],
         )
 
-    def _answer_detailed(self, sender: Voter, digest: SyncDigest) -> None:
-        theirs = {GroupId(item.group): item.version for item in digest.groups}
-        behind = False
-        for group, held in self.routes.groups.items():
-            if theirs.get(group, 0) < held.version:
+    def _respond_to_detailed_digest(self, sender: Voter, digest: SyncDigest) -> None:
+        sender_versions = {GroupId(item.group): item.version for item in digest.groups}
+        is_behind = False
+        for group, route in self.routes.groups.items():
+            if sender_versions.get(group, 0) < route.version:
                 self._send(sender, PeerMessage(route_update=self.routes.whole(group)))
-        for group, version in theirs.items():
-            behind = behind or version > self.routes.version(group)
-        if behind or digest.config_revision > self.config.revision:
+        for group, version in sender_versions.items():
+            is_behind = is_behind or version > self.routes.version(group)
+        if is_behind or digest.config_revision > self.config.revision:
             self._send(sender, PeerMessage(sync_digest=self._digest(detailed=True)))
 
     def _send(self, target: Voter, message: PeerMessage) -> None:
         if target != self.identity:
             self._outbox.append(Deliver(target, message))
 
-    def _finish(self) -> list[Deliver]:
+    def _drain_outbox(self) -> list[Deliver]:
         outgoing = self._outbox
         self._outbox = []
         return outgoing
--- a/src/limedeck/control/events.py
+++ b/src/limedeck/control/events.py
@@ -1,4 +1,4 @@
-"""What a node's control core is told by its host."""
+"""Events that the host passes to a node's control core."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Time has passed."""
+    """Periodic tick."""
 
 
 @dataclass(frozen=True)
 class PeerMessageReceived:
-    """Another node's message came."""
+    """A message from another node arrived."""
 
     message: PeerMessage
 
 
 @dataclass(frozen=True)
 class LeaseReplied:
-    """A back end answered a lease exchange."""
+    """A back end replied to a lease exchange."""
 
     group: GroupId
     backend_id: BackendId
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class LeaseExchangeFailed:
-    """A lease exchange had no answer."""
+    """A lease exchange failed or got no reply."""
 
     group: GroupId
     backend_id: BackendId
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class RecordAnswered:
-    """The table answered a record command."""
+    """The table responded to a command that reads or writes a group's record."""
 
     group: GroupId
     answer: RecordEvent
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class ConfigReceived:
-    """A configuration was accepted by, or read from, the table."""
+    """A configuration was accepted by the table or read from it."""
 
     update: ConfigUpdate
 
@@ -63,9 +63,9 @@
     Parameters
     ----------
     nodes
-        Node ids of all machines on the list, leaving ones included.
+        Ids of the nodes on all listed machines, including machines that are leaving.
     addresses
-        Their peer addresses.
+        Peer addresses of these nodes.
     """
 
     nodes: frozenset[NodeId]
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class LeaveRequested:
-    """This node is about to stop as planned."""
+    """A planned stop of this node was requested."""
 
 
 ControlEvent = (
--- a/src/limedeck/control/leases.py
+++ b/src/limedeck/control/leases.py
@@ -1,10 +1,9 @@
-"""Leases of a group's back ends, as its leader grants and counts them.
+"""Leases of a group's back ends, as its leader grants and tracks them.
 
 One lease covers all slices of a back end. A grant holds until the back end's *own* clock reads a
-value that the leader computes from the clock reading in the back end's last reply, so a grant
-that was held up anywhere never holds longer than it was meant to. The leader, which got that
-reply at *r* of its own clock, counts the lease as possibly alive until
-``r + longest_backend_lease``.
+value that the leader computes from the clock reading in the back end's last reply, so a delayed
+grant never holds longer than intended. The leader, which received that reply at time *r* of its
+own clock, assumes that the lease may hold until ``r + longest_backend_lease``.
 """
 
 from __future__ import annotations
@@ -26,26 +25,27 @@
 
 @dataclass
 class BackendLease:
-    """What a leader knows of one back end.
+    """Lease state of one back end, as known to the leader.
 
     Parameters
     ----------
     incarnation
-        The run of the back end that last replied.
+        Incarnation of the back end that last replied.
     clock, clock_received_at
-        The clock reading in its last reply, and when that came by the leader's clock.
+        Clock reading in its last reply, and when that reply arrived on the leader's clock.
     possibly_alive_until
-        Leader's clock until which an earlier grant, of any run or leader, may still hold.
+        Time on the leader's clock until which a grant to any incarnation by any leader may hold.
     owned
         The slices in the latest grant.
     owned_fence
-        Fence of the first grant with these slices; the version of the range set.
-    held_fence, settled_fence
-        The version that the back end reported to serve, and to have ended all older work for.
+        Fence of the first grant with these slices, which is the version of the range set.
+    served_fence, settled_fence
+        Version that the back end reported to serve, and version for which it reported that all
+        work of older versions has ended.
     exchange
-        Fence of the exchange that waits for its reply.
+        Fence of the exchange whose reply has not arrived yet.
     exchange_sent_at, next_exchange_at
-        Leader's clock.
+        When the last exchange was sent, and when the next is due, on the leader's clock.
     """
 
     backend_id: BackendId
@@ -56,7 +56,7 @@
     clock_received_at: Seconds = NEVER
     owned: tuple[Slice, ...] = ()
     owned_fence: Fence = NO_FENCE
-    held_fence: Fence = NO_FENCE
+    served_fence: Fence = NO_FENCE
     settled_fence: Fence = NO_FENCE
     exchange: Fence | None = None
     exchange_sent_at: Seconds = NEVER
@@ -66,7 +66,7 @@
     loads: dict[int, float] = field(default_factory=dict)
 
     def has_released(self, start: int) -> bool:
-        """Whether the back end has ended all work on a slice and serves it no more."""
+        """Whether the back end has ended all work on a slice and no longer serves it."""
         if any(owned.start <= start < owned.end for owned in self.owned):
             return False
         return self.owned_fence != NO_FENCE and self.settled_fence >= self.owned_fence
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class LeaseExchange:
-    """A request for one back end, and the fence its reply is matched by."""
+    """A request to one back end, and the fence that identifies its reply."""
 
     backend_id: BackendId
     address: str
@@ -98,8 +98,8 @@
     Parameters
     ----------
     elected_at
-        Leader's clock when its term began. Every grant of an earlier leader rests on a clock
-        reading from before, so it is over by ``elected_at + longest_backend_lease``.
+        Time on the leader's clock when its term began. Every grant of an earlier leader is based
+        on an earlier clock reading, so it has ended by ``elected_at + longest_backend_lease``.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self._earlier_grants_until = elected_at + timing.longest_backend_lease
 
     def track(self, addresses: dict[BackendId, str]) -> None:
-        """Follow these back ends; one that may still hold a grant is never forgotten."""
+        """Track these back ends; those tracked earlier stay, because they may still hold a grant."""
         for backend_id, address in addresses.items():
             lease = self.backends.get(backend_id)
             if lease is None:
@@ -124,7 +124,7 @@
                 lease.address = address
 
     def lease(self, backend_id: BackendId) -> BackendLease | None:
-        """Return a back end's lease, or None for one that is not followed."""
+        """Return a back end's lease, or None if the back end is not tracked."""
         return self.backends.get(backend_id)
 
     def has_lapsed(self, backend_id: BackendId, now: Seconds) -> bool:
@@ -135,7 +135,7 @@
         return not lease.may_hold_grant(now)
 
     def due(self, now: Seconds) -> list[BackendLease]:
-        """Back ends that an exchange should be sent to."""
+        """Abandon exchanges that timed out, and return the back ends whose next exchange is due."""
         for lease in self.backends.values():
             if lease.exchange and now - lease.exchange_sent_at > self.timing.exchange_timeout:
                 lease.exchange = None
@@ -148,11 +148,11 @@
     def start_exchange(
         self, lease: BackendLease, owned: Sequence[Slice], warm: Sequence[Slice], now: Seconds
     ) -> LeaseExchange:
-        """Write the next request to a back end: a grant if its clock is known, else a probe."""
+        """Create the next request to a back end: a grant if its clock is known, else a probe."""
         self._sequence += 1
         fence = Fence(self.term, self._sequence)
         request = LeaseRequest(
-            group=self.group, backend_id=lease.backend_id, fence=fence_message(fence)
+            group=self.group, backend_id=lease.backend_id, fence=fence_to_message(fence)
         )
         if lease.incarnation != UNKNOWN_INCARNATION:
             self._add_grant(request, lease, owned, fence, now)
@@ -174,11 +174,11 @@
         if slices != lease.owned or lease.owned_fence == NO_FENCE:
             lease.owned = slices
             lease.owned_fence = fence
-            self._validate_grants(lease, now)
+            self._validate_grant(lease, now)
         request.incarnation = lease.incarnation
         request.until = lease.clock + self.timing.backend_lease
-        request.owned_version.CopyFrom(fence_message(lease.owned_fence))
-        if lease.held_fence != lease.owned_fence:
+        request.owned_version.CopyFrom(fence_to_message(lease.owned_fence))
+        if lease.served_fence != lease.owned_fence:
             request.owned.CopyFrom(range_set(lease.owned_fence, owned))
         if owned:
             until = lease.clock_received_at + self.timing.longest_backend_lease
@@ -187,71 +187,73 @@
     def handle_reply(
         self, backend_id: BackendId, fence: Fence, reply: LeaseReply, now: Seconds
     ) -> bool:
-        """Take in a reply; return whether it answers the exchange that is waited for."""
+        """Apply a reply; return whether it belongs to the pending exchange."""
         lease = self.backends.get(backend_id)
         if lease is None or lease.exchange != fence:
             return False
         lease.exchange = None
         if reply.incarnation != lease.incarnation:
-            self._replace_run(lease, Incarnation(reply.incarnation), now)
+            self._replace_incarnation(lease, Incarnation(reply.incarnation), now)
         lease.clock = reply.clock
         lease.clock_received_at = now
-        lease.held_fence = fence_of(reply.owned_version)
-        lease.settled_fence = fence_of(reply.settled_version)
+        lease.served_fence = fence_from_message(reply.owned_version)
+        lease.settled_fence = fence_from_message(reply.settled_version)
         lease.draining = reply.draining
         lease.in_flight = reply.in_flight
         lease.loads = {load.start: load.requests_per_second for load in reply.loads}
         return True
 
     def handle_failure(self, backend_id: BackendId, fence: Fence) -> None:
-        """Take note that an exchange failed; whether the back end got it is not known."""
+        """End a failed exchange; the back end may have received the request nevertheless."""
         lease = self.backends.get(backend_id)
         if lease is not None and lease.exchange == fence:
             lease.exchange = None
 
-    def _replace_run(self, lease: BackendLease, incarnation: Incarnation, now: Seconds) -> None:
+    def _replace_incarnation(
+        self, lease: BackendLease, incarnation: Incarnation, now: Seconds
+    ) -> None:
         if incarnation < lease.incarnation:
             raise InvariantViolation(
                 "incarnations-grow", f"{lease.backend_id}: {incarnation} after {lease.incarnation}"
             )
         if lease.incarnation != UNKNOWN_INCARNATION:
-            # Another run answers at this address, so the earlier one serves no more.
+            # A later incarnation replied at this address, so the earlier one no longer serves.
             lease.possibly_alive_until = now
         lease.incarnation = incarnation
         lease.owned = ()
         lease.owned_fence = NO_FENCE
         lease.next_exchange_at = now
 
-    def _validate_grants(self, changed: BackendLease, now: Seconds) -> None:
-        """Assert that a new grant overlaps no grant that may still hold elsewhere."""
-        wanted = {item.start for item in changed.owned}
+    def _validate_grant(self, changed: BackendLease, now: Seconds) -> None:
+        """Assert that no other back end may still hold a grant of the same slices."""
+        granted_starts = {item.start for item in changed.owned}
         for lease in self.backends.values():
             if lease is changed or not lease.may_hold_grant(now):
                 continue
-            shared = wanted.intersection(item.start for item in lease.owned)
-            if shared:
+            overlapping = granted_starts.intersection(item.start for item in lease.owned)
+            if overlapping:
                 raise InvariantViolation(
                     "one-grant-per-range",
-                    f"{min(shared):#x} granted to {changed.backend_id} and {lease.backend_id}",
+                    f"{min(overlapping):#x} granted to {changed.backend_id} and {lease.backend_id}",
                     str(changed.owned_fence),
                 )
 
 
-def fence_message(fence: Fence) -> FenceMessage:
-    """Write a fence in its message form."""
+def fence_to_message(fence: Fence) -> FenceMessage:
+    """Convert a fence to its protobuf message."""
     return FenceMessage(term=fence.term, sequence=fence.sequence)
 
 
-def fence_of(message: FenceMessage) -> Fence:
-    """Read a fence from its message form."""
+def fence_from_message(message: FenceMessage) -> Fence:
+    """Read a fence from its protobuf message."""
     return Fence(message.term, message.sequence)
 
 
 def key_range(item: Slice) -> KeyRange:
-    """Write a slice's range; an end of zero stands for the end of the line."""
+    """Convert a slice to a key range; an end of zero means the end of the key space."""
     return KeyRange(start=item.start, end=item.end % KEY_LINE_END)
 
 
 def range_set(version: Fence, owned: Sequence[Slice]) -> RangeSet:
-    """Write the ranges of these slices as one set."""
-    return RangeSet(version=fence_message(version), ranges=[key_range(item) for item in owned])
+    """Convert slices to a range set."""
+    return RangeSet(version=fence_to_message(version), ranges=[key_range(item) for item in owned])
--- a/src/limedeck/control/membership.py
+++ b/src/limedeck/control/membership.py
@@ -1,8 +1,9 @@
-"""Which nodes there are: failure detection by pings with piggybacked records (as in SWIM).
+"""Membership of nodes: failure detection by pings with piggybacked member records (as in SWIM).
 
-Each node pings one other at a time, so the cost does not grow with their number; records of
-changes ride on pings until they were sent often enough to have reached everyone. A status here
-is a guess that guides routing of updates and choice of voters; no lease and no grant rests on it.
+Each node pings one other node at a time, so its cost does not grow with the number of nodes.
+Changed records are piggybacked on pings and acks until they have been sent often enough to have
+reached every node. A status is only an estimate: it guides the dissemination of updates and the
+choice of voters, but no lease and no grant depends on it.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 from limedeck.identity import Incarnation, NodeId, Seconds, Voter
 from limedeck.keyspace.hashing import rendezvous_weight
 
-DEAD_PROBE_EVERY = 4
-"""Every so many pings go to a dead member, so that a healed partition is noticed."""
+PINGS_PER_DEAD_PROBE = 4
+"""One ping in this many goes to a dead member, so that the end of a partition is detected."""
 RETRANSMISSION_FACTOR = 3
-"""A change rides on this many times log2(members) messages."""
+"""A changed record is sent in this factor times log2(members + 1) messages, the log rounded up."""
 DEAD_MEMBER_RETENTION: Seconds = 300.0
 STATUS_ORDER: dict[MemberStatus.ValueType, int] = {
     MEMBER_STATUS_ALIVE: 0,
@@ -41,7 +42,7 @@
 
 @dataclass
 class Member:
-    """One node as this node sees it."""
+    """Record of one node as known to this node."""
 
     identity: Voter
     status: MemberStatus.ValueType
@@ -50,11 +51,11 @@
 
     @property
     def rank(self) -> tuple[Incarnation, int, int]:
-        """Of two records of a node, the one with the higher rank holds."""
+        """Precedence among records of the same node; the record with the highest rank wins."""
         return self.identity.incarnation, self.refutation, STATUS_ORDER[self.status]
 
     def to_message(self) -> MemberRecord:
-        """Write the member in its message form."""
+        """Convert the member to its protobuf message."""
         return MemberRecord(
             identity=self.identity.to_message(), status=self.status, refutation=self.refutation
         )
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True)
 class SendPingAck:
-    """Command: answer a ping."""
+    """Command: send an ack for a ping to an address."""
 
     address: str
     ack: PingAck
@@ -81,14 +82,14 @@
 
 @dataclass(frozen=True)
 class PendingPing:
-    """A ping that waits for its answer."""
+    """A ping whose ack has not arrived yet."""
 
     target: Voter
     sent_at: Seconds
 
 
 class MembershipCore:
-    """All members, and who is pinged next."""
+    """State machine that tracks all members and chooses the next ping target."""
 
     def __init__(
         self,
@@ -106,25 +107,27 @@
             identity.node_id: Member(identity, MEMBER_STATUS_ALIVE, 0, now),
         }
         self.version = 0
-        """Raised with every change."""
+        """Incremented with every change."""
         self._sequence = 0
         self._pending: dict[int, PendingPing] = {}
         self._retransmissions: dict[NodeId, int] = {}
-        self._round: list[NodeId] = []
+        self._ping_round: list[NodeId] = []
         self._next_ping_at: Seconds = now
         self._own_status: MemberStatus.ValueType = MEMBER_STATUS_ALIVE
 
     # ------------------------------------------------------------------ reading
 
     def live_nodes(self) -> tuple[Voter, ...]:
-        """Members that are thought to run and to stay, this node included if it stays."""
-        usable = (MEMBER_STATUS_ALIVE, MEMBER_STATUS_SUSPECT)
+        """Members that are alive or suspect, this node included unless it is leaving."""
+        live_statuses = (MEMBER_STATUS_ALIVE, MEMBER_STATUS_SUSPECT)
         return tuple(
-            member.identity for _, member in sorted(self.members.items()) if member.status in usable
+            member.identity
+            for _, member in sorted(self.members.items())
+            if member.status in live_statuses
         )
 
     def reachable_nodes(self) -> tuple[Voter, ...]:
-        """Members that are thought to run, those that are about to stop included."""
+        """Members that are not dead, including those that are leaving."""
         return tuple(
             member.identity
             for _, member in sorted(self.members.items())
@@ -132,7 +135,7 @@
         )
 
     def departing_nodes(self) -> frozenset[Voter]:
-        """Members that are about to stop."""
+        """Members that are leaving."""
         return frozenset(
             member.identity
             for member in self.members.values()
@@ -140,19 +143,19 @@
         )
 
     def runs(self) -> dict[NodeId, Voter]:
-        """Latest known run of every member, dead or alive."""
+        """Identity of the latest known incarnation of every member, dead or alive."""
         return {node_id: member.identity for node_id, member in self.members.items()}
 
     def is_settled(self) -> bool:
-        """Whether some other node answered, or there is none to ask."""
+        """Whether another node is known, or there are no seeds to contact."""
         return len(self.members) > 1 or not self.seeds
 
     # ------------------------------------------------------------------ events
 
     def handle_tick(self, now: Seconds) -> list[MembershipCommand]:
-        """Send the ping that is due and judge those that were not answered."""
-        self._judge_pings(now)
-        self._judge_suspects(now)
+        """Expire overdue pings and statuses, and send the next ping if it is due."""
+        self._expire_pings(now)
+        self._expire_statuses(now)
         self.validate_state("tick")
         if now < self._next_ping_at:
             return []
@@ -165,24 +168,24 @@
         return [self._ping(target.peer_address, now, target)]
 
     def handle_ping(self, sender: Voter, ping: Ping, now: Seconds) -> list[MembershipCommand]:
-        """Take in a ping and answer it."""
-        newcomer = sender.node_id not in self.members
-        self._hear_of(_alive_record(sender), now)
-        self._take_in(ping.members, now)
-        whole = ping.join or newcomer
-        ack = PingAck(sequence=ping.sequence, members=self._records_for(sender, whole))
+        """Apply the records of a ping and acknowledge it."""
+        is_new = sender.node_id not in self.members
+        self._apply_record(_alive_record(sender), now)
+        self._apply_records(ping.members, now)
+        full = ping.join or is_new
+        ack = PingAck(sequence=ping.sequence, members=self._records_for(sender, full))
         self.validate_state(f"ping from {sender.node_id}")
         return [SendPingAck(sender.peer_address, ack)]
 
     def handle_ack(self, sender: Voter, ack: PingAck, now: Seconds) -> None:
-        """Take in the answer to a ping."""
+        """Apply the records of an ack and end the wait for it."""
         self._pending.pop(ack.sequence, None)
-        self._hear_of(_alive_record(sender), now)
-        self._take_in(ack.members, now)
+        self._apply_record(_alive_record(sender), now)
+        self._apply_records(ack.members, now)
         self.validate_state(f"ack from {sender.node_id}")
 
     def leave(self, now: Seconds) -> list[MembershipCommand]:
-        """Tell the others that this node is about to stop."""
+        """Announce to other nodes that this node is about to stop."""
         self._own_status = MEMBER_STATUS_LEAVING
         own = self.members[self.identity.node_id]
         self._set_status(own, MEMBER_STATUS_LEAVING, now)
@@ -191,12 +194,14 @@
         return [self._ping(member.peer_address, now, member) for member in chosen]
 
     def validate_state(self, cause: str) -> None:
-        """Assert that this node knows itself, whatever others say of it."""
+        """Assert that no record from another node has changed this node's identity or status."""
         own = self.members.get(self.identity.node_id)
         if own is None or own.identity != self.identity:
-            raise InvariantViolation("member-knows-itself", f"holds {own}", cause)
+            raise InvariantViolation("member-knows-itself", f"own record is {own}", cause)
         if own.status != self._own_status:
-            raise InvariantViolation("own-status-is-own", f"holds {own.status}", cause)
+            raise InvariantViolation(
+                "own-status-is-own", f"own record has status {own.status}", cause
+            )
 
     # ------------------------------------------------------------------ pings
 
@@ -210,30 +215,30 @@
         return SendPing(address, ping)
 
     def _next_target(self) -> Voter | None:
-        if self._sequence % DEAD_PROBE_EVERY == DEAD_PROBE_EVERY - 1:
+        if self._sequence % PINGS_PER_DEAD_PROBE == PINGS_PER_DEAD_PROBE - 1:
             dead = [item for item in self.members.values() if item.status == MEMBER_STATUS_DEAD]
             if dead:
-                chosen = dead[self._sequence // DEAD_PROBE_EVERY % len(dead)]
+                chosen = dead[self._sequence // PINGS_PER_DEAD_PROBE % len(dead)]
                 self._sequence += 1
                 return chosen.identity
         while True:
-            if not self._round and not self._start_round():
+            if not self._ping_round and not self._start_ping_round():
                 return None
-            member = self.members.get(self._round.pop())
+            member = self.members.get(self._ping_round.pop())
             if member is not None and member.status != MEMBER_STATUS_DEAD:
                 return member.identity
 
-    def _start_round(self) -> bool:
+    def _start_ping_round(self) -> bool:
         others = [
             member.identity.node_id
             for member in self.members.values()
             if member.status != MEMBER_STATUS_DEAD and member.identity != self.identity
         ]
         seed = f"{self.identity.node_id}/{self._sequence}"
-        self._round = sorted(others, key=lambda node_id: rendezvous_weight(node_id, seed))
-        return bool(self._round)
+        self._ping_round = sorted(others, key=lambda node_id: rendezvous_weight(node_id, seed))
+        return bool(self._ping_round)
 
-    def _judge_pings(self, now: Seconds) -> None:
+    def _expire_pings(self, now: Seconds) -> None:
         overdue = [
             sequence
             for sequence, pending in self._pending.items()
@@ -245,15 +250,15 @@
             if member and member.identity == target and member.status == MEMBER_STATUS_ALIVE:
                 self._set_status(member, MEMBER_STATUS_SUSPECT, now)
 
-    def _judge_suspects(self, now: Seconds) -> None:
+    def _expire_statuses(self, now: Seconds) -> None:
         for node_id, member in list(self.members.items()):
             age = now - member.status_since
             if member.status == MEMBER_STATUS_DEAD and age > DEAD_MEMBER_RETENTION:
                 del self.members[node_id]
-            elif self._awaits_death(member) and age > self.timing.suspicion_timeout:
+            elif self._may_become_dead(member) and age > self.timing.suspicion_timeout:
                 self._set_status(member, MEMBER_STATUS_DEAD, now)
 
-    def _awaits_death(self, member: Member) -> bool:
+    def _may_become_dead(self, member: Member) -> bool:
         if member.identity == self.identity:
             return False
         return member.status in (MEMBER_STATUS_SUSPECT, MEMBER_STATUS_LEAVING)
@@ -270,42 +275,42 @@
         count = RETRANSMISSION_FACTOR * math.ceil(math.log2(len(self.members) + 1))
         self._retransmissions[node_id] = count
 
-    def _records_for(self, target: Voter | None, whole: bool) -> list[MemberRecord]:
-        """Records to send to a node; it is always told when it is thought not to run."""
-        records = self._records(whole)
-        held = self.members.get(target.node_id) if target is not None else None
-        if held is not None and held.status != MEMBER_STATUS_ALIVE and not whole:
-            records.append(held.to_message())
+    def _records_for(self, target: Voter | None, full: bool) -> list[MemberRecord]:
+        """Records to send to a node; one that is not alive gets its own record, to refute it."""
+        records = self._records(full)
+        known = self.members.get(target.node_id) if target is not None else None
+        if known is not None and known.status != MEMBER_STATUS_ALIVE and not full:
+            records.append(known.to_message())
         return records
 
-    def _records(self, whole: bool) -> list[MemberRecord]:
-        if whole:
+    def _records(self, full: bool) -> list[MemberRecord]:
+        if full:
             return [member.to_message() for member in self.members.values()]
-        freshest = sorted(
+        least_sent = sorted(
             self._retransmissions, key=lambda node_id: -self._retransmissions[node_id]
         )
-        chosen = freshest[: self.limits.piggybacked_members]
+        chosen = least_sent[: self.limits.piggybacked_members]
         for node_id in chosen:
             self._retransmissions[node_id] -= 1
             if self._retransmissions[node_id] <= 0:
                 del self._retransmissions[node_id]
         return [self.members[item].to_message() for item in chosen if item in self.members]
 
-    def _take_in(self, records: Sequence[MemberRecord], now: Seconds) -> None:
+    def _apply_records(self, records: Sequence[MemberRecord], now: Seconds) -> None:
         for record in records:
-            self._hear_of(record, now)
+            self._apply_record(record, now)
 
-    def _hear_of(self, record: MemberRecord, now: Seconds) -> None:
+    def _apply_record(self, record: MemberRecord, now: Seconds) -> None:
         identity = Voter.from_message(record.identity)
         if identity.node_id == self.identity.node_id:
             self._refute(identity, record, now)
             return
-        heard = Member(identity, record.status, record.refutation, now)
-        held = self.members.get(identity.node_id)
-        if held is None and record.status == MEMBER_STATUS_DEAD:
+        received = Member(identity, record.status, record.refutation, now)
+        known = self.members.get(identity.node_id)
+        if known is None and record.status == MEMBER_STATUS_DEAD:
             return
-        if held is None or heard.rank > held.rank:
-            self.members[identity.node_id] = heard
+        if known is None or received.rank > known.rank:
+            self.members[identity.node_id] = received
             self._announce(identity.node_id)
 
     def _refute(self, identity: Voter, record: MemberRecord, now: Seconds) -> None:
--- a/src/limedeck/control/messages.py
+++ b/src/limedeck/control/messages.py
@@ -1,4 +1,4 @@
-"""Names of the messages between nodes, for metrics and measurements."""
+"""Names of the kinds of messages between nodes, for metrics and measurements."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def message_kind(message: PeerMessage) -> str:
-    """Name a message by its innermost content."""
+    """Return the name of the message's innermost body field."""
     kind = message.WhichOneof("body") or EMPTY
     if kind == "group":
         return message.group.WhichOneof("body") or EMPTY
--- a/src/limedeck/control/moves.py
+++ b/src/limedeck/control/moves.py
@@ -1,4 +1,4 @@
-"""Slices on their way from one owner to another."""
+"""Moves of slices from one owner to another."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class MovePhase(enum.Enum):
-    """How far a move has come.
+    """Phase of a move.
 
     WARMING
-        The target loads the slice ahead; the source still serves it.
+        The target preloads the slice; the source still serves it.
     RELEASING
-        The source is told to give the slice up; nobody receives it yet.
+        The source is told to release the slice; no back end is granted it.
     COMMITTING
-        The source has released it or its lease has lapsed; the new owner is being replicated.
+        The source has released the slice or its lease has lapsed; the log entry with the new
+        owner is being replicated.
     """
 
     WARMING = "warming"
@@ -27,16 +28,16 @@
 
 @dataclass
 class MoveProgress:
-    """One slice's move.
+    """Progress of one slice's move.
 
     Parameters
     ----------
     start
         Start of the slice.
     phase_since
-        Leader's clock when the phase began.
+        Time on the leader's clock when the phase began.
     log_index
-        Entry that commits the move, in the last phase.
+        Index of the log entry with the new owner, set in the last phase.
     """
 
     start: int
@@ -47,13 +48,13 @@
     log_index: int = 0
 
     def enter(self, phase: MovePhase, now: Seconds) -> None:
-        """Go on to a later phase."""
+        """Enter a later phase."""
         self.phase = phase
         self.phase_since = now
 
 
 class MoveTable:
-    """All moves of a group that are under way."""
+    """All moves of a group that are in progress."""
 
     def __init__(self) -> None:
         self._moves: dict[int, MoveProgress] = {}
@@ -65,11 +66,11 @@
         return start in self._moves
 
     def begin(self, move: MoveProgress) -> None:
-        """Add a move, in place of one of the same slice that has not been released yet."""
+        """Add a move; it replaces a move of the same slice that is still warming."""
         self._moves[move.start] = move
 
     def drop(self, move: MoveProgress) -> None:
-        """Forget a move."""
+        """Remove a move."""
         self._moves.pop(move.start, None)
 
     def get(self, start: int) -> MoveProgress | None:
@@ -81,19 +82,19 @@
         return [move for move in self._moves.values() if move.phase is phase]
 
     def withheld_starts(self) -> set[int]:
-        """Starts of slices that nobody may be granted."""
+        """Starts of slices that must not be granted to any back end."""
         return {move.start for move in self._moves.values() if move.phase is not MovePhase.WARMING}
 
     def warm_starts(self, target: BackendId) -> list[int]:
-        """Starts of slices that a back end should load ahead."""
+        """Starts of slices that a back end should preload."""
         return sorted(move.start for move in self._moves.values() if move.target == target)
 
     def releasing_sources(self) -> set[BackendId]:
-        """Back ends that are giving up slices."""
+        """Back ends that are releasing slices."""
         return {move.source for move in self.in_phase(MovePhase.RELEASING)}
 
     def finish_committed(self, commit_index: int) -> list[MoveProgress]:
-        """Remove and return the moves whose entry is committed."""
+        """Remove and return the moves whose log entry is committed."""
         finished = [
             move for move in self.in_phase(MovePhase.COMMITTING) if move.log_index <= commit_index
         ]
@@ -102,6 +103,6 @@
         return finished
 
     def drop_all(self, moves: Iterable[MoveProgress]) -> None:
-        """Forget these moves."""
+        """Remove these moves."""
         for move in moves:
             self.drop(move)
--- a/src/limedeck/control/node.py
+++ b/src/limedeck/control/node.py
@@ -1,7 +1,7 @@
-"""One node's whole control core: membership, dissemination and every group, behind one method.
+"""Control core of one node: membership, dissemination and all groups, behind one method.
 
-The daemon and the simulation drive the same object: events and the time of the node's own clock
-in, commands out.
+The daemon and the simulation drive the same object: it takes events with the time of the node's
+own clock and returns commands.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 from limedeck.keyspace.hashing import KEY_LINE_END, rendezvous_weight
 from limedeck.routing.route_table import RouteTable
 
-FOUNDING_PATIENCE: Seconds = 1.0
-"""How long a started node waits for other nodes before it may found a group alone."""
+FOUNDING_DELAY: Seconds = 1.0
+"""Time for which a started node waits for other nodes before it may found a group alone."""
 PASSIVE_TICK_INTERVAL: Seconds = 1.0
-"""Mean time between two looks at a group that a node has no part in."""
+"""Mean time between two ticks of a group in which the node is passive (it knows no voters)."""
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class PollConfig:
-    """Command: read the configuration from the table if it is above a revision."""
+    """Command: read the configuration from the table if its revision is higher than this one."""
 
     known_revision: int
 
@@ -70,7 +70,7 @@
 
 
 class ControlNode:
-    """The control core of one run of one node."""
+    """Control core of one incarnation of a node."""
 
     def __init__(
         self,
@@ -94,21 +94,21 @@
         self.leaving = False
         self._views: dict[GroupId, GroupView] = {}
         self._views_key: tuple[int, int, frozenset[NodeId] | None, bool] | None = None
-        self._seen_membership = -1
-        self._may_found_at = now + FOUNDING_PATIENCE
+        self._seen_membership_version = -1
+        self._may_found_at = now + FOUNDING_DELAY
         self._next_config_poll: Seconds = now
         self._next_machine_read: Seconds = now
         self._passive_ticks: dict[GroupId, Seconds] = {}
         self._commands: list[ControlCommand] = []
 
     def can_route(self) -> bool:
-        """Whether this node knows where requests go: a configuration, and owners of its keys."""
+        """Whether this node has a configuration and routes for all groups in it."""
         if self.config.revision == 0:
             return False
         return all(self.routes.version(group) > 0 for group in self._views if group in self.groups)
 
     def leads_any(self) -> bool:
-        """Whether this node leads a group that others could lead."""
+        """Whether this node leads a group with live nodes; a leaving node is not one of them."""
         return any(
             core.consensus.is_leader and len(core.view.nodes) > 0 for core in self.groups.values()
         )
@@ -138,7 +138,7 @@
     # ------------------------------------------------------------------ events
 
     def _on_tick(self, now: Seconds) -> None:
-        self._add_membership(self.membership.handle_tick(now))
+        self._add_membership_commands(self.membership.handle_tick(now))
         self._refresh_membership()
         self._add_deliveries(self.dissemination.handle_tick(now))
         self._read_platform(now)
@@ -146,14 +146,17 @@
         may_found = now >= self._may_found_at
         for group, core in list(self.groups.items()):
             if core.consensus.voters or (may_found and self._passive_tick_is_due(group, now)):
-                self._add_group(core.handle_tick(self._views[group], now))
+                self._add_group_commands(core.handle_tick(self._views[group], now))
 
     def _passive_tick_is_due(self, group: GroupId, now: Seconds) -> bool:
-        """Whether to look at a group that this node has no part in; most groups are such."""
+        """Whether the tick of a passive group is due; most groups are passive.
+
+        The interval differs by node, so that the nodes do not look at a group at the same time.
+        """
         if now < self._passive_ticks.get(group, now):
             return False
-        spread = rendezvous_weight(self.identity.node_id, group) / KEY_LINE_END
-        self._passive_ticks[group] = now + PASSIVE_TICK_INTERVAL * (0.5 + spread)
+        hash_fraction = rendezvous_weight(self.identity.node_id, group) / KEY_LINE_END
+        self._passive_ticks[group] = now + PASSIVE_TICK_INTERVAL * (0.5 + hash_fraction)
         return True
 
     def _on_peer_message(self, message: PeerMessage, now: Seconds) -> None:
@@ -163,9 +166,9 @@
         kind = message.WhichOneof("body")
         if kind == "group":
             core = self._group_for(GroupId(message.group.group), now)
-            self._add_group(core.handle_message(sender, message.group, now))
+            self._add_group_commands(core.handle_message(sender, message.group, now))
         elif kind == "ping":
-            self._add_membership(self.membership.handle_ping(sender, message.ping, now))
+            self._add_membership_commands(self.membership.handle_ping(sender, message.ping, now))
         elif kind == "ping_ack":
             self.membership.handle_ack(sender, message.ping_ack, now)
         elif kind == "route_update":
@@ -181,17 +184,17 @@
         core = self.groups.get(event.group)
         if core is not None:
             commands = core.handle_lease_reply(event.backend_id, event.fence, event.reply, now)
-            self._add_group(commands)
+            self._add_group_commands(commands)
 
     def _on_lease_failed(self, event: LeaseExchangeFailed, now: Seconds) -> None:
         core = self.groups.get(event.group)
         if core is not None:
-            self._add_group(core.handle_lease_failure(event.backend_id, event.fence, now))
+            self._add_group_commands(core.handle_lease_failure(event.backend_id, event.fence, now))
 
     def _on_record_answered(self, event: RecordAnswered, now: Seconds) -> None:
         core = self.groups.get(event.group)
         if core is not None:
-            self._add_group(core.handle_record_event(event.answer, now))
+            self._add_group_commands(core.handle_record_event(event.answer, now))
 
     def _on_config(self, update: ConfigUpdate) -> None:
         self._add_deliveries(self.dissemination.publish_config(update))
@@ -203,14 +206,14 @@
 
     def _on_leave(self, now: Seconds) -> None:
         self.leaving = True
-        self._add_membership(self.membership.leave(now))
+        self._add_membership_commands(self.membership.leave(now))
 
-    # ------------------------------------------------------------------ upkeep
+    # ------------------------------------------------------------------ refresh
 
     def _refresh_membership(self) -> None:
-        if self.membership.version == self._seen_membership:
+        if self.membership.version == self._seen_membership_version:
             return
-        self._seen_membership = self.membership.version
+        self._seen_membership_version = self.membership.version
         self.dissemination.set_nodes(
             self.membership.live_nodes(), self.membership.reachable_nodes()
         )
@@ -232,18 +235,18 @@
         self._views_key = key
         nodes = self.membership.live_nodes()
         evidence = LossEvidence(self.machines, self.membership.runs())
-        wanted: dict[GroupId, GroupView] = {}
+        views: dict[GroupId, GroupView] = {}
         for service in self.config.keyed_services():
-            wanted.update(self._views_of(service, nodes, evidence))
-        self._views = wanted
-        for group in wanted:
+            views.update(self._build_views(service, nodes, evidence))
+        self._views = views
+        for group in views:
             self._group_for(group, now)
-        for group in [group for group in self.groups if group not in wanted]:
+        for group in [group for group in self.groups if group not in views]:
             del self.groups[group]
             self._passive_ticks.pop(group, None)
             self.routes.remove(group)
 
-    def _views_of(
+    def _build_views(
         self, service: Service, nodes: tuple[Voter, ...], evidence: LossEvidence
     ) -> dict[GroupId, GroupView]:
         count = service.sharing.control_groups
@@ -275,7 +278,7 @@
 
     # ------------------------------------------------------------------ commands
 
-    def _add_group(self, commands: Iterable[GroupCommand]) -> None:
+    def _add_group_commands(self, commands: Iterable[GroupCommand]) -> None:
         for command in commands:
             if isinstance(command, OutgoingMessage):
                 self._send(command.target, PeerMessage(group=command.message))
@@ -288,7 +291,7 @@
         for delivery in deliveries:
             self._send(delivery.target, delivery.message)
 
-    def _add_membership(self, commands: Iterable[MembershipCommand]) -> None:
+    def _add_membership_commands(self, commands: Iterable[MembershipCommand]) -> None:
         for command in commands:
             if isinstance(command, SendPing):
                 message = PeerMessage(ping=command.ping)
--- a/src/limedeck/control/timing.py
+++ b/src/limedeck/control/timing.py
@@ -1,4 +1,4 @@
-"""Spans of time and bounds that the control state machines work with."""
+"""Durations and limits of the control state machines."""
 
 from __future__ import annotations
 
@@ -9,44 +9,46 @@
 
 @dataclass(frozen=True)
 class ControlTiming:
-    """All spans in seconds of a process's own clock.
+    """Durations, in seconds of the local process's clock.
 
     Parameters
     ----------
     tick_interval
-        How often the host delivers a tick.
+        Interval between two ticks from the host.
     heartbeat_interval
-        Between two appends from a leader to a follower that has nothing new.
+        Interval between two appends from a leader to a follower that has all entries.
     election_timeout
-        A voter that acknowledged a leader votes for no other for this long.
+        Time for which a voter that acknowledged a leader votes for no other.
     election_spread
-        Added to the election timeout, in a part that differs by node and term.
+        Upper limit of the delay added to the election timeout; it differs by node and term.
     clock_drift
-        Greatest difference in rate between a clock and real time, as a fraction.
+        Maximum difference in rate between a clock and real time, as a fraction.
     backend_lease
-        How long after its own clock reading a back end may serve under a grant.
+        Time after a back end's own clock reading for which it may serve under a grant.
     lease_renewal_interval
-        Between two lease exchanges with one back end.
+        Interval between two lease exchanges with one back end.
     exchange_timeout
-        An exchange without an answer is given up after this.
+        Time after which an exchange without a reply is abandoned.
     release_poll_interval
-        Between two exchanges with a back end that is giving up slices.
+        Interval between two exchanges with a back end that is releasing slices.
     warm_period
-        How long a planned move's target is given to load a slice ahead.
+        Time for which the target of a planned move may preload a slice before the source
+        releases it.
     record_write_interval
-        Least time between two writes of a group's record to the table.
+        Minimum interval between two writes of a group's record to the table.
     voter_loss_timeout
-        A voter that has not answered for this long is replaced.
+        Time after which a voter that has not responded is replaced.
     ping_interval, ping_timeout, suspicion_timeout
-        Of failure detection between nodes.
+        Interval between two pings of a node, time after which a ping without an ack makes its
+        target suspect, and time after which a suspect or leaving node counts as dead.
     sync_interval
-        Between two anti-entropy exchanges of a node.
+        Interval between two anti-entropy exchanges of a node.
     config_poll_interval
-        Between two reads of the configuration's head by a zone's relay.
+        Interval between two reads of the configuration's latest revision by a zone's relay.
     machine_list_interval
-        Between two reads of the machine list by a zone's relay.
+        Interval between two reads of the machine list by a zone's relay.
     rebalance_interval
-        Between two looks at the balance of a group.
+        Interval between two checks of a group's balance.
     """
 
     tick_interval: Seconds = 0.05
@@ -71,33 +73,33 @@
 
     @property
     def leadership_lease(self) -> Seconds:
-        """How long a leader may act after sending an append that a majority acknowledged."""
+        """Time for which a leader may act after it sent an append that a majority acknowledged."""
         return self.election_timeout * (1 - self.clock_drift) / (1 + self.clock_drift)
 
     @property
     def longest_backend_lease(self) -> Seconds:
-        """A back end's lease as the granter must count it, drift included."""
+        """Longest time on the leader's clock for which a lease may hold, given the clock drift."""
         return self.backend_lease * (1 + self.clock_drift) / (1 - self.clock_drift)
 
 
 @dataclass(frozen=True)
 class ControlLimits:
-    """Bounds on counts.
+    """Limits on counts.
 
     Parameters
     ----------
     voters
-        Voters of a control group when enough nodes are there; odd.
+        Number of voters of a control group if there are enough nodes; odd.
     concurrent_moves
-        Planned moves of a group under way at the same time.
+        Maximum number of planned moves of a group in progress at the same time.
     moves_per_minute
-        Planned moves of a group that are started within a minute (churn budget).
+        Maximum number of planned moves of a group started within a minute (churn budget).
     log_entries_kept
-        Committed entries kept before they are folded into the snapshot.
+        Number of latest committed entries kept when older ones are merged into the snapshot.
     relays_per_zone
-        Nodes of a zone that pass updates on to the others.
+        Number of nodes of a zone that forward updates to the others.
     piggybacked_members
-        Member records that a ping carries.
+        Maximum number of changed member records in a ping or ack.
     """
 
     voters: int = 3
