--- a/src/limedeck/control/dissemination.py
+++ b/src/limedeck/control/dissemination.py
@@ -75,7 +75,7 @@
             Nodes that need updates: the staying nodes and those that still serve before they stop.
         """
         if len(reachable) > len(self._nodes):
-            # A new node may have newer state, so a node that has just started syncs at once.
+            # A newly reachable node may have newer state; a node that just started syncs at once.
             self._next_sync_at = NEVER
         self._nodes = tuple(reachable)
         count = self.limits.relays_per_zone
--- a/src/limedeck/control/leases.py
+++ b/src/limedeck/control/leases.py
@@ -113,7 +113,7 @@
         self._earlier_grants_until = elected_at + timing.longest_backend_lease
 
     def track(self, addresses: dict[BackendId, str]) -> None:
-        """Track these back ends; those tracked earlier stay, because they may still hold a grant."""
+        """Track these back ends; those tracked earlier stay, as they may still hold a grant."""
         for backend_id, address in addresses.items():
             lease = self.backends.get(backend_id)
             if lease is None:
--- a/src/limedeck/control/node.py
+++ b/src/limedeck/control/node.py
@@ -151,7 +151,7 @@
     def _passive_tick_is_due(self, group: GroupId, now: Seconds) -> bool:
         """Whether the tick of a passive group is due; most groups are passive.
 
-        The interval differs by node, so that the nodes do not look at a group at the same time.
+        The interval differs by node and group, which staggers the ticks.
         """
         if now < self._passive_ticks.get(group, now):
             return False
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the traps that sole ownership has to stand up to."""
+"""Leases: clock offsets, delayed grants, restarts and releases keep ownership exclusive."""
 
 import pytest
 
@@ -15,37 +15,37 @@
 OTHER = BackendId("other")
 SLICE = Slice(0, 100, BACKEND)
 NEIGHBOUR = Slice(100, 200, BACKEND)
-CLOCK_AHEAD = 5_000.0
-"""The back end's clock reads so much more than the leader's."""
+CLOCK_OFFSET = 5_000.0
+"""Seconds by which the back end's clock is ahead of the leader's."""
 
 
 class Exchange:
-    """A lease table and one back end with a clock of its own."""
+    """A lease table and one back end whose clock differs from the leader's."""
 
     def __init__(self, rules: BackendRules | None = None, term: int = 1) -> None:
         self.table = LeaseTable(GroupId("group"), term, TIMING, elected_at=0.0)
         self.table.track({BACKEND: "127.0.0.1:1"})
         self.backend = HollowBackend(BACKEND, Incarnation(7), 2, 8, True, rules or BackendRules())
 
-    def ask(self, now: float, *owned: Slice) -> LeaseExchange:
+    def request(self, now: float, *owned: Slice) -> LeaseExchange:
         lease = self.table.lease(BACKEND)
         assert lease is not None
         return self.table.start_exchange(lease, owned, (), now)
 
-    def answer(self, exchange: LeaseExchange, received_at: float) -> LeaseReply:
-        return self.backend.handle_lease(exchange.request, received_at + CLOCK_AHEAD)
+    def reply_to(self, exchange: LeaseExchange, received_at: float) -> LeaseReply:
+        return self.backend.handle_lease(exchange.request, received_at + CLOCK_OFFSET)
 
     def round_trip(self, now: float, *owned: Slice) -> LeaseReply:
-        exchange = self.ask(now, *owned)
-        reply = self.answer(exchange, now)
+        exchange = self.request(now, *owned)
+        reply = self.reply_to(exchange, now)
         self.table.handle_reply(BACKEND, exchange.fence, reply, now)
         return reply
 
     def serves(self, now: float, position: int = 5) -> bool:
-        return self.backend.owns(position, now + CLOCK_AHEAD)
+        return self.backend.owns(position, now + CLOCK_OFFSET)
 
 
-def test_the_first_exchange_grants_nothing_and_learns_the_clock() -> None:
+def test_the_first_exchange_reads_the_clock_and_grants_nothing() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     assert not exchange.serves(1.0)
@@ -53,7 +53,7 @@
     assert exchange.serves(1.1)
 
 
-def test_a_lease_ends_by_the_back_ends_clock_before_the_leader_counts_it_over() -> None:
+def test_a_lease_ends_on_the_back_end_before_it_lapses_for_the_leader() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     exchange.round_trip(1.1, SLICE)
@@ -65,15 +65,15 @@
 
 
 @pytest.mark.parametrize("until_clock", [True, False])
-def test_a_grant_that_waited_in_a_buffer_while_the_server_was_frozen(until_clock: bool) -> None:
+def test_only_a_grant_for_a_duration_holds_when_delivered_after_a_freeze(until_clock: bool) -> None:
     exchange = Exchange(BackendRules(holds_until_clock=until_clock))
     exchange.round_trip(1.0, SLICE)
     exchange.round_trip(1.1, SLICE)
-    buffered = exchange.ask(1.3, SLICE)
+    buffered = exchange.request(1.3, SLICE)
     thawed_at = 60.0
     assert exchange.table.has_lapsed(BACKEND, thawed_at)
-    exchange.answer(buffered, thawed_at)
-    # The broken rule, a grant "for so long", would serve although the lease has lapsed.
+    exchange.reply_to(buffered, thawed_at)
+    # A back end that holds a grant for a duration from its arrival serves after the lapse.
     assert exchange.serves(thawed_at) is not until_clock
 
 
@@ -81,16 +81,16 @@
 def test_a_delayed_grant_of_an_earlier_leader_is_refused_by_its_fence(checks_fences: bool) -> None:
     exchange = Exchange(BackendRules(checks_fences=checks_fences))
     exchange.round_trip(1.0, SLICE)
-    delayed = exchange.ask(1.1, SLICE)
+    delayed = exchange.request(1.1, SLICE)
     newer = Exchange(term=2)
     newer.backend = exchange.backend
     newer.round_trip(1.2)
-    reply = exchange.answer(delayed, 1.3)
+    reply = exchange.reply_to(delayed, 1.3)
     assert reply.accepted is not checks_fences
     assert exchange.serves(1.3) is not checks_fences
 
 
-def test_a_grant_for_an_earlier_run_is_refused_and_its_lease_is_over_at_once() -> None:
+def test_a_grant_to_an_earlier_incarnation_is_refused_and_its_lease_lapses_at_once() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     exchange.round_trip(1.1, SLICE)
@@ -103,7 +103,7 @@
     assert exchange.serves(1.3)
 
 
-def test_a_run_that_is_older_than_a_known_one_is_impossible() -> None:
+def test_an_older_incarnation_is_an_invariant_violation() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     exchange.backend = HollowBackend(BACKEND, Incarnation(6), 2, 8, True)
@@ -115,31 +115,31 @@
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE, NEIGHBOUR)
     exchange.round_trip(1.1, SLICE, NEIGHBOUR)
-    number = exchange.backend.admit(Work("r", 5, True), 1.2 + CLOCK_AHEAD)
+    number = exchange.backend.admit(Work("r", 5, True), 1.2 + CLOCK_OFFSET)
     assert isinstance(number, int)
     lease = exchange.table.lease(BACKEND)
     assert lease is not None
     exchange.round_trip(1.3, NEIGHBOUR)
     assert not lease.has_released(SLICE.start)
-    assert exchange.backend.admit(Work("s", 5, True), 1.3 + CLOCK_AHEAD) is Refusal.NOT_OWNER
+    assert exchange.backend.admit(Work("s", 5, True), 1.3 + CLOCK_OFFSET) is Refusal.NOT_OWNER
     exchange.backend.finish(number)
     exchange.round_trip(1.4, NEIGHBOUR)
     assert lease.has_released(SLICE.start)
     assert not lease.has_released(NEIGHBOUR.start)
 
 
-def test_work_is_not_done_once_its_slice_was_given_up() -> None:
+def test_work_is_not_executed_after_the_lease_has_ended() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     exchange.round_trip(1.1, SLICE)
-    number = exchange.backend.admit(Work("r", 5, True), 1.2 + CLOCK_AHEAD)
+    number = exchange.backend.admit(Work("r", 5, True), 1.2 + CLOCK_OFFSET)
     assert isinstance(number, int)
     late = 1.0 + TIMING.backend_lease
-    assert exchange.backend.execute(number, late + CLOCK_AHEAD) is Refusal.NOT_OWNER
+    assert exchange.backend.execute(number, late + CLOCK_OFFSET) is Refusal.NOT_OWNER
     assert exchange.backend.executions["r"] == 0
 
 
-def test_a_new_leader_counts_earlier_grants_for_a_whole_lease() -> None:
+def test_a_new_leader_waits_out_a_full_lease_for_earlier_grants() -> None:
     table = LeaseTable(GroupId("group"), 2, TIMING, elected_at=10.0)
     table.track({BACKEND: "127.0.0.1:1"})
     assert not table.has_lapsed(BACKEND, 10.0 + TIMING.backend_lease)
@@ -147,7 +147,7 @@
     assert table.has_lapsed(BACKEND, 10.0 + TIMING.longest_backend_lease + 0.01)
 
 
-def test_granting_one_slice_twice_is_an_invariant_violation() -> None:
+def test_granting_a_slice_to_two_back_ends_is_an_invariant_violation() -> None:
     exchange = Exchange()
     exchange.table.track({BACKEND: "127.0.0.1:1", OTHER: "127.0.0.1:2"})
     exchange.round_trip(1.0, SLICE)
@@ -160,8 +160,8 @@
         exchange.table.start_exchange(other, (SLICE,), (), 1.2)
 
 
-def test_an_exchange_without_answer_is_sent_again_after_its_timeout() -> None:
+def test_an_exchange_without_a_reply_is_due_again_after_its_timeout() -> None:
     exchange = Exchange()
-    exchange.ask(1.0)
+    exchange.request(1.0)
     assert exchange.table.due(1.0 + TIMING.exchange_timeout) == []
     assert len(exchange.table.due(1.01 + TIMING.exchange_timeout)) == 1
--- a/tests/unit/test_ownership_stateful.py
+++ b/tests/unit/test_ownership_stateful.py
@@ -1,7 +1,8 @@
-"""Leases under drawn schedules: two leaders one after the other, two back ends, any delivery.
+"""Leases under generated schedules: successive leaders, two back ends, arbitrary delivery.
 
-The leaders follow the product's rules through `LeaseTable` only; the machine decides what is
-delivered when, which clock passes how fast, and when a back end freezes or restarts.
+The leaders apply the product's rules through `LeaseTable` only. The state machine decides when
+messages are delivered, how far time advances, and when leaders change and back ends restart. The
+clocks of the back ends differ in offset and in rate.
 """
 
 from dataclasses import dataclass
@@ -39,7 +40,7 @@
         self.now = 0.0
         self.offsets = {NAMES[0]: 1_000.0, NAMES[1]: 5.0}
         self.rates = {NAMES[0]: 1 + TIMING.clock_drift, NAMES[1]: 1 - TIMING.clock_drift}
-        self.backends = {name: self.new_run(name, 1) for name in NAMES}
+        self.backends = {name: self.start_backend(name, 1) for name in NAMES}
         self.owner = NAMES[0]
         self.moving_to: BackendId | None = None
         self.term = 0
@@ -47,14 +48,14 @@
         self.replies: list[PendingReply] = []
         self.elect()
 
-    def new_run(self, name: BackendId, run: int) -> HollowBackend:
-        return HollowBackend(name, Incarnation(run), 2, 8, True)
+    def start_backend(self, name: BackendId, incarnation: int) -> HollowBackend:
+        return HollowBackend(name, Incarnation(incarnation), 2, 8, True)
 
     def clock(self, name: BackendId) -> float:
         return self.offsets[name] + self.now * self.rates[name]
 
     def elect(self) -> None:
-        """Another leader takes over what is committed: who owns the slice, nothing more."""
+        """Start another leader, which takes over only the committed owner of the slice."""
         self.term += 1
         self.moving_to = None
         self.table = LeaseTable(GroupId("group"), self.term, TIMING, self.now)
@@ -69,7 +70,7 @@
         self.elect()
 
     def send(self, name: BackendId) -> None:
-        """Send the next request; one that is still on its way counts as given up."""
+        """Send the next request; it replaces one that is still in transit."""
         lease = self.table.lease(name)
         assert lease is not None
         owns = self.owner == name and self.moving_to is None
@@ -78,24 +79,24 @@
 
     @rule(count=st.integers(1, 2))
     def grant_to_owner(self, count: int) -> None:
-        """Complete exchanges with the owner and leave one on its way."""
+        """Complete exchanges with the owner and leave one more request in transit."""
         self.exchange(self.owner, count, True)
 
-    @rule(name=BACKENDS, count=st.integers(1, 2), leave_one=st.booleans())
-    def exchange(self, name: BackendId, count: int, leave_one: bool) -> None:
-        """Complete exchanges at once; another one may then stay on its way."""
+    @rule(name=BACKENDS, count=st.integers(1, 2), leave_one_in_transit=st.booleans())
+    def exchange(self, name: BackendId, count: int, leave_one_in_transit: bool) -> None:
+        """Complete exchanges at once; optionally leave one more request in transit."""
         for _ in range(count):
             self.send(name)
             exchange = self.requests.pop()
             reply = self.backends[name].handle_lease(exchange.request, self.clock(name))
             self.table.handle_reply(name, exchange.fence, reply, self.now)
-        if leave_one:
+        if leave_one_in_transit:
             self.send(name)
 
     @precondition(lambda self: self.requests)
     @rule(draw=st.integers(0, 1000), keep=st.booleans())
     def deliver_request(self, draw: int, keep: bool) -> None:
-        """Deliver any request so far sent, possibly again, possibly very late."""
+        """Deliver any request in transit, possibly repeatedly or very late."""
         index = draw % len(self.requests)
         exchange = self.requests[index] if keep else self.requests.pop(index)
         name = exchange.backend_id
@@ -106,29 +107,29 @@
     @rule(draw=st.integers(0, 1000))
     def deliver_reply(self, draw: int) -> None:
         pending = self.replies.pop(draw % len(self.replies))
-        run = self.backends[pending.backend_id].incarnation
-        # A connection to an earlier run is broken, so its replies never arrive after a restart.
-        if pending.term == self.term and pending.reply.incarnation == run:
+        incarnation = self.backends[pending.backend_id].incarnation
+        # The connection to an earlier incarnation is closed, so its replies never arrive.
+        if pending.term == self.term and pending.reply.incarnation == incarnation:
             self.table.handle_reply(pending.backend_id, pending.fence, pending.reply, self.now)
 
     @rule()
-    def lose_everything_in_transit(self) -> None:
+    def lose_all_messages_in_transit(self) -> None:
         self.requests.clear()
         self.replies.clear()
 
     @rule(name=BACKENDS)
     def restart_backend(self, name: BackendId) -> None:
-        self.backends[name] = self.new_run(name, self.backends[name].incarnation + 1)
+        self.backends[name] = self.start_backend(name, self.backends[name].incarnation + 1)
 
     @rule()
-    def begin_move(self) -> None:
+    def start_move(self) -> None:
         other = NAMES[1] if self.owner == NAMES[0] else NAMES[0]
         self.moving_to = self.moving_to or other
 
     @rule(reaches_owner=st.booleans(), wait=st.sampled_from([0.0, 2.0]))
     def move_at_once(self, reaches_owner: bool, wait: float) -> None:
-        """Move the slice as far as it goes: release or lapse, new owner, grant."""
-        self.begin_move()
+        """Advance a move as far as possible: release or lapse, then new owner, then grant."""
+        self.start_move()
         self.now += wait
         if reaches_owner:
             self.exchange(self.owner, 1, False)
@@ -139,7 +140,7 @@
     @precondition(lambda self: self.moving_to is not None)
     @rule()
     def finish_move(self) -> None:
-        """Commit the new owner once the old one has released the slice or its lease is over."""
+        """Commit the new owner if the old one has released the slice or its lease has lapsed."""
         lease = self.table.lease(self.owner)
         assert lease is not None and self.moving_to is not None
         lapsed = self.table.has_lapsed(self.owner, self.now)
