--- a/src/limedeck_lab/explain/__init__.py
+++ b/src/limedeck_lab/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the logs of many nodes and tells the story of one request, or of one key."""
+"""Reads the logs of several nodes and reconstructs the history of one request or one key."""
--- a/src/limedeck_lab/explain/log_lines.py
+++ b/src/limedeck_lab/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of many nodes, in order of time."""
+"""Log lines of several nodes, ordered by time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class UnreadableLogs(LimedeckError):
-    """There are no logs to read."""
+    """No logs could be read."""
 
     problem: str
 
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line.
+    """One log line.
 
     Parameters
     ----------
     at
-        By whoever collected it, else by the node's own steady clock: lines of several machines are
-        in order only if those agree.
+        Time from the log collector, or else from the node's own monotonic clock. Lines of several
+        machines are in order only if these clocks agree.
     """
 
     at: Seconds
@@ -43,7 +43,7 @@
         return self.fields.get(name)
 
     def holds_key(self, service: str, key: int) -> bool:
-        """Whether it is about a range of this service that holds a key."""
+        """Whether the line is about a range of this service that contains the key."""
         first, last = self.get("first"), self.get("last")
         if self.get("service") != service or first is None or last is None:
             return False
@@ -51,31 +51,31 @@
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Read files, and all files below directories.
+    """Read the log lines of files, and of all files below directories.
 
     Raises
     ------
     UnreadableLogs
-        A path is not there, or there is no log line in any file.
+        A path does not exist, or no file has a log line.
     """
     lines: list[LogLine] = []
     for path in paths:
         if not path.exists():
-            raise UnreadableLogs(f"{path} is not there")
+            raise UnreadableLogs(f"{path} does not exist")
         for file in sorted(path.rglob("*")) if path.is_dir() else [path]:
             if file.is_file():
-                lines += _lines_of(file)
+                lines += _read_file(file)
     if not lines:
-        raise UnreadableLogs("there is no log line of a node in these files")
+        raise UnreadableLogs("these files contain no log lines of a node")
     return sorted(lines, key=lambda line: line.at)
 
 
-def _lines_of(file: Path) -> Iterator[LogLine]:
-    """Yield the lines of one file; a node's first line says whose they are."""
+def _read_file(file: Path) -> Iterator[LogLine]:
+    """Yield the lines of one file; a node's first line names the node."""
     node = file.stem
     with file.open(encoding="utf-8", errors="replace") as content:
         for text in content:
-            line = _parsed(text.strip(), node)
+            line = _parse_line(text.strip(), node)
             if line is None:
                 continue
             if line.event == "started" and line.node == node:
@@ -84,8 +84,8 @@
             yield line
 
 
-def _parsed(text: str, node: str) -> LogLine | None:
-    """Read a line as a node writes it, or with a time and a node's name before it."""
+def _parse_line(text: str, node: str) -> LogLine | None:
+    """Parse a line as a node writes it, or with a time and a node's name in front."""
     head, brace, rest = text.partition("{")
     if not brace:
         return None
--- a/src/limedeck_lab/explain/meanings.py
+++ b/src/limedeck_lab/explain/meanings.py
@@ -1,4 +1,4 @@
-"""What the words of log lines mean, as sentences."""
+"""Meanings of values in log lines, in words."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 REASONS = {
     RefusalReason.NO_OWNER: "its key had no owner for as long as it could wait",
     RefusalReason.NO_BACKEND: "its service had no back end that may be used",
-    RefusalReason.REFUSED: "back ends turned it away, and there was no retry left",
-    RefusalReason.OVERLOADED: "the back end's queue was believed to be too long for it",
-    RefusalReason.UNREACHABLE: "no connection to a back end came about",
-    RefusalReason.RESPONSE_LOST: "a back end had it, and its answer was lost",
+    RefusalReason.REFUSED: "back ends refused it, and there was no retry left",
+    RefusalReason.OVERLOADED: "the back end's queue was estimated to be too long for it",
+    RefusalReason.UNREACHABLE: "no back end could be reached",
+    RefusalReason.RESPONSE_LOST: "a back end had received it, and the response was lost",
     RefusalReason.TIMED_OUT: "its time was over",
-    RefusalReason.STOPPED: "the node's planned stop was over before the answer came",
-    RefusalReason.BAD_KEY: "it had no key that can be read",
-    RefusalReason.QUARANTINED: "back ends had ended under it",
+    RefusalReason.STOPPED: "the node's planned stop ended before the response came",
+    RefusalReason.BAD_KEY: "it had no readable key",
+    RefusalReason.QUARANTINED: "back ends had exited while they ran it",
     RefusalReason.EVACUATED: (
         "its key's owner is in a zone that is evacuated, and the key had not moved"
     ),
@@ -57,25 +57,25 @@
 
 
 def meaning_of_outcome(word: object) -> str:
-    """Say what became of a request."""
+    """Describe the outcome of a request."""
     return next((text for item, text in OUTCOMES.items() if item.value == word), str(word))
 
 
 def meaning_of_reason(word: object) -> str:
-    """Say why a request was given up."""
+    """Describe why a request was given up."""
     return next((text for item, text in REASONS.items() if item.value == word), str(word))
 
 
 def meaning_of_phase(word: object) -> str:
-    """Say where an attempt failed."""
+    """Describe where an attempt failed."""
     return next((text for item, text in PHASES.items() if item.value == word), str(word))
 
 
 def meaning_of_cause(word: object) -> str:
-    """Say why keys changed their owner."""
+    """Describe why keys changed their owner."""
     return next((text for item, text in CAUSES.items() if item.value == word), str(word))
 
 
 def meaning_of_suspicion(word: object) -> str:
-    """Say why a leader was elected."""
+    """Describe why a leader was elected."""
     return next((text for item, text in SUSPICIONS.items() if item.value == word), str(word))
--- a/src/limedeck_lab/explain/sentences.py
+++ b/src/limedeck_lab/explain/sentences.py
@@ -1,4 +1,4 @@
-"""A log line as a sentence."""
+"""Formats log lines as sentences."""
 
 from __future__ import annotations
 
@@ -14,34 +14,36 @@
 )
 
 TERM_BITS = 32
-UNTOLD = frozenset({"component", "clock", "level", "event", "request", "service"})
-"""Fields that a sentence without words of its own leaves out."""
+OMITTED_FIELDS = frozenset({"component", "clock", "level", "event", "request", "service"})
+"""Fields left out of the sentence for an event that has no format of its own."""
 
 
 def sentence(line: LogLine) -> str:
-    """Say what a line says; one of an event that has no words of its own, by its fields."""
-    tell = _SENTENCES.get(line.event)
-    if tell is not None:
-        return tell(line)
-    fields = [f"{name} {value}" for name, value in line.fields.items() if name not in UNTOLD]
+    """Format a line as a sentence; list its fields if its event has no format of its own."""
+    format_event = _SENTENCES.get(line.event)
+    if format_event is not None:
+        return format_event(line)
+    fields = [
+        f"{name} {value}" for name, value in line.fields.items() if name not in OMITTED_FIELDS
+    ]
     return " ".join([line.event, *fields])
 
 
 def owners_version(version: object) -> str:
-    """Say which version of the owners a node went by."""
+    """Describe the version of the owners that a node used."""
     if not isinstance(version, int) or version == 0:
         return "no owners known"
     return f"owners of term {version >> TERM_BITS}, change {version % (1 << TERM_BITS)}"
 
 
-def _given_up(line: LogLine) -> str:
+def _request_given_up(line: LogLine) -> str:
     text = f"{meaning_of_outcome(line.get('outcome'))}: {meaning_of_reason(line.get('reason'))}"
     if line.get("bound") is not None:
         text += f" ({line.get('backend')} takes {line.get('bound')} a second)"
     elif line.get("expected") is not None:
         text += (
             f" ({line.get('backend')}: {line.get('expected')} s expected with "
-            f"{line.get('load')} requests there, heard {line.get('load_age')} s ago)"
+            f"{line.get('load')} requests there, reported {line.get('load_age')} s ago)"
         )
     elif line.get("unavailable") is not None:
         text += f" ({line.get('backend')}: {line.get('unavailable')})"
@@ -49,7 +51,7 @@
     return text if retry_after is None else f"{text}; told to come back after {retry_after} s"
 
 
-def _answered(line: LogLine) -> str:
+def _request_answered(line: LogLine) -> str:
     return f"answered with status {line.get('status')} at attempt {line.get('attempts')}"
 
 
@@ -86,7 +88,7 @@
 
 def _limit_changed(line: LogLine) -> str:
     limit = line.get("limit")
-    takes = "names no limit any more" if limit is None else f"takes {limit} requests a second"
+    takes = "no longer states a limit" if limit is None else f"takes {limit} requests a second"
     return f"{line.get('backend')} {takes}"
 
 
@@ -103,13 +105,13 @@
     return f"{line.get('backend')} serves requests again after its back-off"
 
 
-def _cold(line: LogLine) -> str:
+def _backend_cold(line: LogLine) -> str:
     return f"{line.get('backend')} is cold for {line.get('seconds')} s"
 
 
 _SENTENCES: dict[str, Callable[[LogLine], str]] = {
-    "given_up": _given_up,
-    "answered": _answered,
+    "given_up": _request_given_up,
+    "answered": _request_answered,
     "attempt_failed": _attempt_failed,
     "owner_changed": _owner_changed,
     "order_lost": _order_lost,
@@ -120,5 +122,5 @@
     "leaving_changed": _leaving_changed,
     "rest_began": _rest_began,
     "rest_ended": _rest_ended,
-    "back_end_cold": _cold,
+    "back_end_cold": _backend_cold,
 }
--- a/src/limedeck_lab/explain/stories.py
+++ b/src/limedeck_lab/explain/stories.py
@@ -1,4 +1,4 @@
-"""The story of one request or one key: its own lines, and what else bears on it."""
+"""The history of one request or key: its own log lines and other lines relevant to it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from limedeck_lab.explain.log_lines import LogLine
 from limedeck_lab.explain.sentences import owners_version, sentence
 
-BEFORE: Seconds = 5.0
-"""What happened so long before a request to its node, its leader and its back ends is told too."""
+CONTEXT_TIME: Seconds = 5.0
+"""Time before a request from which events of its node, leader and back ends are included."""
 LEADER_EVENTS = frozenset(
     {"elected", "leadership_ended", "leadership_yielded", "fenced_off", "service_opened"}
 )
@@ -49,17 +49,17 @@
 
 
 class NothingFound(LimedeckError):
-    """The logs say nothing of what was asked."""
+    """The logs have no lines about the subject."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoryLine:
-    """One sentence of a story.
+    """One sentence of a history.
 
     Parameters
     ----------
     times
-        How often the same was said, up to `until`.
+        Number of times that the node logged the same, the last time at `until`.
     """
 
     at: Seconds
@@ -69,65 +69,67 @@
     until: Seconds = 0.0
 
     def shown(self) -> str:
-        """Write it as a line."""
+        """Format as a line of text."""
         again = f" ({self.times} times until {self.until:.3f})" if self.times > 1 else ""
         return f"{self.at:10.3f}  {self.node:<16}  {self.text}{again}"
 
 
 def story_of_request(lines: Sequence[LogLine], request: str) -> list[StoryLine]:
-    """Tell what happened to a request, and why, as far as the logs say.
+    """Return what happened to a request and why, as far as the logs show.
 
     Raises
     ------
     NothingFound
-        No line has this id: the request was answered, and good ones are logged by sample.
+        No line has this id; of successful requests only a sample is logged.
     """
     own = [line for line in lines if line.get("request") == request]
     if not own:
-        raise NothingFound(f"no line has the request id {request}; good requests are sampled")
+        raise NothingFound(f"no line has the request id {request}; successful requests are sampled")
     arrival = min(_arrival(line) for line in own)
     end = own[-1].at
     chosen = list(own)
     for line in lines:
-        if arrival - BEFORE <= line.at <= end and _bears_on(line, own):
+        if arrival - CONTEXT_TIME <= line.at <= end and _is_relevant(line, own):
             chosen.append(line)
     ending = own[-1]
-    for line in _owner_before(lines, ending, arrival - BEFORE):
+    for line in _last_owner_change(lines, ending, arrival - CONTEXT_TIME):
         chosen.append(line)
-    told = [_arrival_line(ending, arrival)] if ending.get("owners") is not None else []
-    return _collapsed(told + [_told(line) for line in _in_order(chosen)])
+    story = [_arrival_line(ending, arrival)] if ending.get("owners") is not None else []
+    return _merge_repeated(story + [_story_line(line) for line in _sorted_by_time(chosen)])
 
 
 def story_of_key(
     lines: Sequence[LogLine], service: str, key: int, since: Seconds, until: Seconds
 ) -> list[StoryLine]:
-    """Tell who owned a key and why that changed, and which requests for it failed.
+    """Return who owned a key, why that changed, and which requests for it failed.
 
     Raises
     ------
     NothingFound
-        No line is about this key in this time.
+        No line in this time is about the key.
     """
     chosen = [
-        line for line in lines if since <= line.at <= until and _is_of_key(line, service, key)
+        line for line in lines if since <= line.at <= until and _is_about_key(line, service, key)
     ]
     if not chosen:
         raise NothingFound(f"no line is about key {key} of {service} between these times")
     first, last = chosen[0].at, chosen[-1].at
     chosen += [
-        line for line in lines if first - BEFORE <= line.at <= last and line.event in LEADER_EVENTS
+        line
+        for line in lines
+        if first - CONTEXT_TIME <= line.at <= last and line.event in LEADER_EVENTS
     ]
-    return _collapsed([_told(line) for line in _in_order(chosen)])
+    return _merge_repeated([_story_line(line) for line in _sorted_by_time(chosen)])
 
 
-def _is_of_key(line: LogLine, service: str, key: int) -> bool:
+def _is_about_key(line: LogLine, service: str, key: int) -> bool:
     if line.event in KEY_EVENTS:
         return line.holds_key(service, key)
     return bool(line.get("service") == service and line.get("key") == key)
 
 
-def _bears_on(line: LogLine, own: Sequence[LogLine]) -> bool:
-    """Whether a line that is not the request's own tells why it went as it did."""
+def _is_relevant(line: LogLine, own: Sequence[LogLine]) -> bool:
+    """Whether a line that is not the request's own can explain its outcome."""
     if line.get("request") is not None:
         return False
     if line.event in LEADER_EVENTS:
@@ -143,8 +145,8 @@
     return line.event in KEY_EVENTS and key is not None and line.holds_key(service, key)
 
 
-def _owner_before(lines: Iterable[LogLine], ending: LogLine, before: Seconds) -> list[LogLine]:
-    """Return the last change of the key's owner before what is told anyway."""
+def _last_owner_change(lines: Iterable[LogLine], ending: LogLine, before: Seconds) -> list[LogLine]:
+    """Return the last change of the key's owner before the lines that are included anyway."""
     service, key = ending.get("service"), ending.get("key")
     if key is None:
         return []
@@ -163,23 +165,23 @@
 def _arrival_line(ending: LogLine, arrival: Seconds) -> StoryLine:
     key = ending.get("key")
     keyed = "" if key is None else f", key {key}, by {owners_version(ending.get('owners'))}"
-    returned = "; its caller had been here before" if ending.get("returned") else ""
+    returned = "; the client sent it again" if ending.get("returned") else ""
     text = f"came in for {ending.get('service')}, route {ending.get('route')}{keyed}{returned}"
     return StoryLine(arrival, ending.node, text)
 
 
-def _told(line: LogLine) -> StoryLine:
+def _story_line(line: LogLine) -> StoryLine:
     return StoryLine(line.at, line.node, sentence(line))
 
 
-def _in_order(lines: Iterable[LogLine]) -> list[LogLine]:
+def _sorted_by_time(lines: Iterable[LogLine]) -> list[LogLine]:
     return sorted(lines, key=lambda line: line.at)
 
 
-def _collapsed(told: list[StoryLine]) -> list[StoryLine]:
-    """Join what one node says again and again, at the place of the first time."""
+def _merge_repeated(story: list[StoryLine]) -> list[StoryLine]:
+    """Merge equal sentences of one node into one, at the time of the first."""
     joined: dict[tuple[str, str], StoryLine] = {}
-    for item in sorted(told, key=lambda line: line.at):
+    for item in sorted(story, key=lambda line: line.at):
         first = joined.setdefault((item.node, item.text), item)
         if first is not item:
             joined[item.node, item.text] = StoryLine(
--- a/src/limedeck_lab/ownership/__init__.py
+++ b/src/limedeck_lab/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of election and ownership on a store, with faults and an independent judge."""
+"""Simulation of election and ownership on a store, with faults and an independent check."""
--- a/src/limedeck_lab/ownership/backends.py
+++ b/src/limedeck_lab/ownership/backends.py
@@ -1,4 +1,4 @@
-"""Back ends in simulated time: they hold keys by fenced grants that run out."""
+"""Back ends in simulated time, which hold keys by fenced grants that expire."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from limedeck.ownership.orders import Grant, Release
 
 SLOW_CLOCK = 1.02
-"""A back end's clock may be so much slower; its grants run longer by that."""
+"""Factor by which grants last longer at a back end, whose clock may be slow."""
 
 
 @dataclass
 class SimulatedBackend:
-    """One life of a back end.
+    """One incarnation of a back end.
 
     Parameters
     ----------
     held_until
-        By key; counted in true time.
+        When its grant ends, by key; in simulated time.
     late
-        Keys that it holds by a grant that was taken late.
+        Keys that it holds by a grant that was delivered late.
     instance
-        The name by which orders are addressed; a later life may have it again.
+        The name to which orders are addressed; a later incarnation may have the same name.
     """
 
     backend_id: str
@@ -42,11 +42,11 @@
         self.held_until = [0.0] * self.positions
 
     def serves(self, now: Seconds) -> bool:
-        """Whether it answers requests for any key."""
+        """Whether it serves requests for any key."""
         return self.up and any(until > now for until in self.held_until)
 
     def grant(self, order: Grant, now: Seconds, late: bool) -> bool:
-        """Take a grant, or refuse it because of a higher fence."""
+        """Accept a grant, or refuse it because of a higher fence."""
         keys = range(order.first, order.last + 1)
         if any(self.fences[key] > order.fence for key in keys):
             return False
@@ -59,19 +59,19 @@
         return True
 
     def release(self, order: Release) -> None:
-        """Give keys up."""
+        """Release keys."""
         for key in range(order.first, order.last + 1):
             if order.fence >= self.fences[key]:
                 self.fences[key] = order.fence
                 self.held_until[key] = 0.0
 
-    def holds(self, key: int, now: Seconds, or_late: bool = False) -> bool:
-        """Whether it would run a request for the key, by a grant that was not taken late.
+    def holds(self, key: int, now: Seconds, include_late: bool = False) -> bool:
+        """Whether it would run a request for the key, by a grant that was not delivered late.
 
         Parameters
         ----------
-        or_late
-            A grant that was taken late counts too.
+        include_late
+            Whether a grant that was delivered late counts too.
         """
-        is_late = key in self.late and not or_late
+        is_late = key in self.late and not include_late
         return self.up and self.held_until[key] > now and not is_late
--- a/src/limedeck_lab/ownership/faults.py
+++ b/src/limedeck_lab/ownership/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a simulated deployment: one generator for each kind of fault."""
+"""Faults of a simulated deployment: one generator for each kind."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
     "two_leaders",
     "holder_of_old_leader",
 )
-"""What may overlap; the order decides what a seed draws."""
+"""Faults that may overlap. Their order determines which faults a seed draws."""
 BY_NAME_ALONE = (
     "backend_reborn",
     "owner_of_old_leader_reborn",
     "leader_paused",
     "leader_gone_owners_reborn",
 )
-"""What changes how others are judged, or needs the whole deployment sound when it begins; so seeds
-of all the others draw as they did before there were these."""
+"""Faults that change how the effects of others are checked, or that require a healthy deployment
+when they begin. They run only when named, so that seeds of `FAULTS` still draw the same faults."""
 
 
 class WorldFaults:
@@ -115,7 +115,7 @@
         return self._world.random.choice(leaders) if leaders else self._any_node()
 
     def two_leaders(self) -> Generator[simpy.Event, object, None]:
-        """The leader reaches back ends only, is replaced, and a back end leaves unseen by it."""
+        """The leader reaches only back ends and is replaced; a back end leaves unnoticed by it."""
         leader = self._leader()
         leader.reaches_store = leader.reaches_nodes = False
         yield self._pause(3.5, 5.0)
@@ -123,7 +123,7 @@
         leader.reaches_store = leader.reaches_nodes = True
 
     def holder_of_old_leader(self) -> Generator[simpy.Event, object, None]:
-        """The leader is cut off from everything, together with one back end."""
+        """The leader and one back end are cut off from everything but each other."""
         leader = self._leader()
         backend = self._any_backend()
         others = {
@@ -148,7 +148,7 @@
         self._world.store.faults = StoreFaults()
 
     def store_lossy(self) -> Generator[simpy.Event, object, None]:
-        self._world.store.faults = StoreFaults(slowness=10.0, lost_share=0.3, late_share=0.3)
+        self._world.store.faults = StoreFaults(slowdown=10.0, lost_share=0.3, late_share=0.3)
         yield self._pause(1.0, 8.0)
         self._world.store.faults = StoreFaults()
 
@@ -166,12 +166,13 @@
         backend.listed = False
 
     def backend_reborn(self) -> Generator[simpy.Event, object, None]:
-        """An owner takes orders late, ends, and starts again under its name seconds later.
+        """An owner receives orders late, exits, and starts again under its name seconds later.
 
-        Its keys are another one's by then, and orders to its former life are still on their way.
+        By then its keys have another owner, and orders to its former incarnation are still in
+        transit.
         """
         backend = self._any_backend()
-        self._world.judges_late_grants = True
+        self._world.counts_late_grants = True
         self._world.late_orders = 1.0
         yield self._pause(0.3, 0.6)
         self._world.late_orders = 0.0
@@ -182,10 +183,10 @@
         self._world.start_backend(backend.instance)
 
     def owner_of_old_leader_reborn(self) -> Generator[simpy.Event, object, None]:
-        """The leader reaches back ends only and is replaced; two start again unseen by it.
+        """The leader reaches only back ends and is replaced; two restart without its noticing.
 
-        What it goes on to send to their former lives reaches the later ones, which other nodes
-        reach only seconds after that.
+        Orders that it still sends to their former incarnations reach the later ones, which other
+        nodes can reach only seconds later.
         """
         leader = self._leader()
         leader.reaches_store = leader.reaches_nodes = False
@@ -204,16 +205,16 @@
         leader.reaches_store = leader.reaches_nodes = True
 
     def leader_paused(self) -> Generator[simpy.Event, object, None]:
-        """The leader stands still, for shorter or longer than its successor needs."""
+        """The leader is paused, for less or more time than it takes to elect a successor."""
         leader = self._leader()
         leader.paused = True
         yield self._pause(0.5, 12.0)
         leader.paused = False
 
     def leader_gone_owners_reborn(self) -> Generator[simpy.Event, object, None]:
-        """All nodes end, the leader for long, while two owners start again under their names.
+        """All nodes exit, the leader for longer, while two owners restart under their names.
 
-        Those that come back never saw the former lives listed, and cannot address them.
+        Restarted nodes have never seen the former incarnations listed and cannot address them.
         """
         leader = self._leader()
         nodes = list(self._world.nodes.values())
--- a/src/limedeck_lab/ownership/node.py
+++ b/src/limedeck_lab/ownership/node.py
@@ -1,4 +1,4 @@
-"""A node's control in simulated time: the product's own cores, with simulated calls."""
+"""A node's control in simulated time: the product's own cores with simulated calls."""
 
 from __future__ import annotations
 
@@ -41,17 +41,17 @@
 LEADER = RowKey("leader", "", "leader")
 CONFIRMATION = RowKey("leader", "", "confirmation")
 RECORD = RowKey("assignment", "", "service")
-TICK: Seconds = 0.05
-ORDER_TIME: Seconds = 0.002
-ORDER_WORK: Seconds = 0.0005
-"""Processor time that sending an order takes, and reading its answer: an estimate, not measured."""
-RECORD_RETRY: Seconds = 0.1
+TICK_INTERVAL: Seconds = 0.05
+ORDER_TRANSIT_TIME: Seconds = 0.002
+ORDER_PROCESSING_TIME: Seconds = 0.0005
+"""Processor time for sending an order, and again for reading its response."""
+RECORD_RETRY_DELAY: Seconds = 0.1
 
 Process = Generator[simpy.Event, object, None]
 
 
 class SimulatedNode:
-    """One life of one node's process."""
+    """One incarnation of one node's process."""
 
     def __init__(self, world: World, node_id: str, incarnation: int) -> None:
         self.world = world
@@ -62,34 +62,34 @@
         self.reaches_backends = True
         self.reaches_nodes = True
         self.slowness = 0.0
-        """Times that orders' work takes; without any, orders cost no time."""
+        """Multiple of `ORDER_PROCESSING_TIME` that orders take; at 0 they take no time."""
         self._processor = simpy.Resource(world.environment)
         self.identity = LeaderRecord(node_id=node_id, incarnation=incarnation)
         now = world.environment.now
         self.election = ElectionCore(self.identity, world.timing, now)
-        self.lending = LeaderPermitIssuer(self.election)
+        self.permit_issuer = LeaderPermitIssuer(self.election)
         self.core: ServiceOwnership | None = None
         self._core_term = 0
         self._opening = False
         self._backends_seen: dict[str, Backend] = {}
         self._addresses: set[str] = set()
-        """Back ends that this life of the node has seen listed, which it can address."""
+        """Back ends that this incarnation of the node has seen listed and can therefore address."""
         world.environment.process(self._run())
 
     def _run(self) -> Process:
         while self.up:
             if not self.paused:
                 self._tick(self.world.environment.now)
-            yield self.world.environment.timeout(TICK)
+            yield self.world.environment.timeout(TICK_INTERVAL)
 
     def _tick(self, now: Seconds) -> None:
         if self.reaches_store or self.reaches_nodes:
             self._addresses |= self.world.listing().keys()
-        self._hear_leader(now)
+        self._receive_heartbeat(now)
         command = self.election.handle_tick(now)
         if command is not None:
             self._start(self._election_call(command))
-        self.lending.handle_tick(now)
+        self.permit_issuer.handle_tick(now)
         if self.election.role is not Role.LEADER:
             self.core = None
             return
@@ -102,13 +102,13 @@
         self._lead(self.core, now)
 
     def _lead(self, core: ServiceOwnership, now: Seconds) -> None:
-        self._ask_former_leaders()
+        self._query_former_leaders()
         if not self.election.former_leaders():
             core.handle_former_leaders_ended(now)
         if self.reaches_store:
             self._backends_seen = self.world.listing()
         core.set_backends(self._backends_seen.values(), now)
-        self._hear_answers(core, now)
+        self._receive_response_reports(core, now)
         may_yield = self.election.may_yield(now) and len(self.world.nodes) > 1
         for command in core.handle_tick(self.election.may_renew(now), now, may_yield):
             if isinstance(command, SendGrant):
@@ -123,15 +123,15 @@
         elif core.doubts_itself:
             self.election.yield_leadership(now)
 
-    def _hear_answers(self, core: ServiceOwnership, now: Seconds) -> None:
-        """Other nodes tell of answers to their requests."""
+    def _receive_response_reports(self, core: ServiceOwnership, now: Seconds) -> None:
+        """Record the back ends that respond to requests, as other nodes report."""
         if not self.reaches_nodes:
             return
         for backend in self.world.backends.values():
             if backend.reachable and backend.serves(now):
                 core.record_last_response(backend.backend_id, now)
 
-    def _ask_former_leaders(self) -> None:
+    def _query_former_leaders(self) -> None:
         for former in self.election.former_leaders():
             node = self.world.nodes.get(former.node_id)
             if node is None or not node.up or node.paused:
@@ -145,7 +145,7 @@
     def _start(self, process: Process) -> None:
         self.world.environment.process(process)
 
-    def _hear_leader(self, now: Seconds) -> None:
+    def _receive_heartbeat(self, now: Seconds) -> None:
         record = self.election.record
         if record is None or self.election.role is Role.LEADER:
             return
@@ -172,7 +172,7 @@
             if isinstance(command, ReadLeader):
                 found = yield from store.read(LEADER.table, self.reaches_store)
                 assert isinstance(found, TableRead)
-                seen = _seen(found.rows, found.store_time)
+                seen = _leader_read_result(found.rows, found.store_time)
                 self.election.handle_leader_read(seen, self.world.environment.now)
                 return
             if isinstance(command, Campaign):
@@ -180,12 +180,14 @@
                 write = RowWrite(LEADER, command.record.SerializeToString())
             else:
                 conditions = [RowCondition(LEADER, command.row_version)]
-                told = LeaderConfirmation(term=command.term, confirmed_at=started)
-                write = RowWrite(CONFIRMATION, told.SerializeToString())
+                confirmation = LeaderConfirmation(term=command.term, confirmed_at=started)
+                write = RowWrite(CONFIRMATION, confirmation.SerializeToString())
             written = yield from store.transact(conditions, [write], self.reaches_store)
             assert isinstance(written, WriteResult)
         except ConditionFailed as error:
-            self.election.handle_leader_read(_seen(error.rows, 0.0), self.world.environment.now)
+            self.election.handle_leader_read(
+                _leader_read_result(error.rows, 0.0), self.world.environment.now
+            )
             return
         except StoreError:
             self.election.handle_store_failure(self.world.environment.now)
@@ -211,7 +213,7 @@
             "service",
             self.world.positions,
             term,
-            _record(row),
+            _decode_record(row),
             row.version if row else ABSENT,
             self.world.timing,
             self.world.environment.now,
@@ -231,10 +233,10 @@
                 )
             except ConditionFailed as error:
                 row = next((item for item in error.rows if item.key == RECORD.key), None)
-                core.handle_record_conflict(_record(row), row.version if row else ABSENT)
+                core.handle_record_conflict(_decode_record(row), row.version if row else ABSENT)
                 return
             except StoreError:
-                yield self.world.environment.timeout(RECORD_RETRY)
+                yield self.world.environment.timeout(RECORD_RETRY_DELAY)
                 continue
             assert isinstance(written, WriteResult)
             core.handle_record_written(written.version)
@@ -245,51 +247,51 @@
     def _grant(self, core: ServiceOwnership, order: Grant) -> Process:
         environment = self.world.environment
         sent_at = environment.now
-        taken = yield from self._deliver(order)
+        accepted = yield from self._deliver(order)
         if not self.up:
             return
-        if taken is None:
+        if accepted is None:
             core.handle_order_lost(order, environment.now)
         else:
-            core.handle_grant_answer(order, taken, not taken, sent_at, environment.now)
+            core.handle_grant_answer(order, accepted, not accepted, sent_at, environment.now)
 
     def _release(self, core: ServiceOwnership, order: Release) -> Process:
-        taken = yield from self._deliver(order)
+        accepted = yield from self._deliver(order)
         if not self.up:
             return
-        if taken is None:
+        if accepted is None:
             core.handle_order_lost(order, self.world.environment.now)
         else:
             core.handle_release_answer(order, True, "", self.world.environment.now)
 
     def _deliver(self, order: Grant | Release) -> Generator[simpy.Event, object, bool | None]:
-        """Send an order; None when there is no answer in time."""
+        """Send an order; return None if there is no response in time."""
         if not self.slowness:
             return (yield from self._exchange(order))
-        # What was begun goes on beside the orders that follow it, and takes their time.
+        # An exchange that timed out goes on and takes processor time from the orders after it.
         environment = self.world.environment
-        exchange = environment.process(self._worked_exchange(order))
+        exchange = environment.process(self._process_and_exchange(order))
         given_up = environment.timeout(self.world.timing.order_timeout)
         yield environment.any_of([exchange, given_up])
         return exchange.value if exchange.processed else None
 
-    def _worked_exchange(
+    def _process_and_exchange(
         self, order: Grant | Release
     ) -> Generator[simpy.Event, object, bool | None]:
-        yield from self._work()
-        taken = yield from self._exchange(order)
-        yield from self._work()
-        return taken
+        yield from self._process_order()
+        accepted = yield from self._exchange(order)
+        yield from self._process_order()
+        return accepted
 
-    def _work(self) -> Process:
+    def _process_order(self) -> Process:
         with self._processor.request() as turn:
             yield turn
-            yield self.world.environment.timeout(ORDER_WORK * self.slowness)
+            yield self.world.environment.timeout(ORDER_PROCESSING_TIME * self.slowness)
 
     def _exchange(self, order: Grant | Release) -> Generator[simpy.Event, object, bool | None]:
         environment = self.world.environment
-        yield environment.timeout(ORDER_TIME)
-        backend = self.world.addressed(order)
+        yield environment.timeout(ORDER_TRANSIT_TIME)
+        backend = self.world.addressee_of(order)
         reachable = backend is not None and backend.reachable and self.reaches_backends
         if (self.node_id, order.backend_id) in self.world.pair_cuts:
             reachable = False
@@ -298,15 +300,15 @@
         lost = self.world.random.random() < self.world.late_orders
         if backend is None or not reachable or not backend.up or lost:
             if lost and backend is not None:
-                self.world.take_late(order)
+                self.world.deliver_late(order)
             yield environment.timeout(self.world.timing.order_timeout)
             return None
-        taken = self.world.take(backend, order, late=False)
-        yield environment.timeout(ORDER_TIME)
-        return taken
+        accepted = self.world.deliver(backend, order, late=False)
+        yield environment.timeout(ORDER_TRANSIT_TIME)
+        return accepted
 
 
-def _seen(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
+def _leader_read_result(rows: tuple[StoredRow, ...], store_time: Seconds) -> LeaderReadResult:
     record = None
     version = ABSENT
     age = None
@@ -316,11 +318,11 @@
             version = row.version
     for row in rows:
         if row.key == CONFIRMATION.key and record is not None:
-            told = LeaderConfirmation.FromString(row.value)
-            if told.term == record.term:
-                age = store_time - told.confirmed_at
+            confirmation = LeaderConfirmation.FromString(row.value)
+            if confirmation.term == record.term:
+                age = store_time - confirmation.confirmed_at
     return LeaderReadResult(record, version, age)
 
 
-def _record(row: StoredRow | None) -> AssignmentRecord | None:
+def _decode_record(row: StoredRow | None) -> AssignmentRecord | None:
     return AssignmentRecord.FromString(row.value) if row is not None else None
--- a/src/limedeck_lab/ownership/runs.py
+++ b/src/limedeck_lab/ownership/runs.py
@@ -1,4 +1,4 @@
-"""One seeded run of a simulated deployment, and what it is reported as."""
+"""One seeded run of a simulated deployment, and its report."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from limedeck.ownership.timing import OwnershipTiming
 from limedeck_lab.ownership.faults import FAULTS
 from limedeck_lab.ownership.sabotage import PERMITS, SABOTAGES, TWO_OWNERS
-from limedeck_lab.ownership.world import LIMIT, World
+from limedeck_lab.ownership.world import RATE_LIMIT, World
 
 PERMIT_WINDOW: Seconds = 4.0
-MOST_PERMITS = 1.5 * LIMIT * PERMIT_WINDOW + 5
-"""Requests in any such window that the back end which names a limit gets at most."""
-SHOWN = 3
-"""Double owners that a report names; one fault shows at thousands of moments and keys."""
+MAX_PERMITS = 1.5 * RATE_LIMIT * PERMIT_WINDOW + 5
+"""Upper bound on requests to the rate-bound back end within any such window."""
+MAX_REPORTED_DOUBLE_OWNERS = 3
+"""Limits the double owners in a report: one fault can show at thousands of times and keys."""
 
 
 @dataclass(frozen=True)
 class RunPlan:
-    """What to run.
+    """Parameters of a run.
 
     Parameters
     ----------
     seconds
-        Of simulated time with faults.
+        Simulated time during which faults happen.
     sabotage
         A name in `SABOTAGES`, or empty.
     """
@@ -43,20 +43,21 @@
 
 @dataclass(frozen=True)
 class RunReport:
-    """What came of a run.
+    """Result of a run.
 
     Parameters
     ----------
     violations
-        Promises that were broken, one text each.
+        Broken guarantees, one text each.
     longest_without_owner
-        Of any key, in seconds.
+        Longest time that any key had no owner.
     most_permits
-        That all nodes together lent in any `PERMIT_WINDOW` and the time that a permit lives.
+        Most permits that all nodes together issued within any `PERMIT_WINDOW` plus the lifetime of
+        a permit.
     permits
-        That all nodes together lent.
+        Permits that all nodes together issued.
     wall_seconds
-        What the run took.
+        Real time that the run took.
     """
 
     plan: RunPlan
@@ -68,7 +69,7 @@
     wall_seconds: Seconds
 
     def as_dict(self) -> dict[str, object]:
-        """For a line of JSON."""
+        """Return the report as a dictionary for JSON."""
         return {
             "seed": self.plan.seed,
             "seconds": self.plan.seconds,
@@ -90,30 +91,30 @@
     with SABOTAGES[plan.sabotage].patch() if plan.sabotage else contextlib.nullcontext():
         world = World(plan.seed, OwnershipTiming(), plan.nodes, plan.backends)
         world.run_with_faults(plan.seconds, plan.faults)
-    most_permits = world.most_lent(PERMIT_WINDOW + PERMIT_LIFETIME)
+    most_permits = world.max_permits_issued(PERMIT_WINDOW + PERMIT_LIFETIME)
     return RunReport(
         plan,
         tuple(_violations(world, most_permits)),
-        dict(sorted(world.begun.items())),
+        dict(sorted(world.fault_counts.items())),
         world.longest_without_owner,
         most_permits,
-        len(world.lent_at),
+        len(world.permits_issued_at),
         time.monotonic() - began,
     )
 
 
 def _violations(world: World, most_permits: int) -> list[str]:
-    found = [f"{TWO_OWNERS}: {item}" for item in world.found[:SHOWN]]
+    found = [f"{TWO_OWNERS}: {item}" for item in world.found[:MAX_REPORTED_DOUBLE_OWNERS]]
     unserved = world.unserved()
     if unserved:
         found.append(f"{len(unserved)} keys without an owner in the end")
-    if most_permits > MOST_PERMITS:
-        found.append(f"{most_permits} {PERMITS} where {MOST_PERMITS:g} are allowed")
+    if most_permits > MAX_PERMITS:
+        found.append(f"{most_permits} {PERMITS} where {MAX_PERMITS:g} are allowed")
     return found
 
 
 def summary(reports: Sequence[RunReport]) -> dict[str, object]:
-    """Add up the reports of several seeds."""
+    """Summarize the reports of several seeds."""
     return {
         "runs": len(reports),
         "violated_seeds": [item.plan.seed for item in reports if item.violations],
--- a/src/limedeck_lab/ownership/sabotage.py
+++ b/src/limedeck_lab/ownership/sabotage.py
@@ -1,4 +1,4 @@
-"""Breaking one of the product's rules on purpose: the proof that the judge can see it."""
+"""Deliberate violations of the product's rules, which prove that the checks detect them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @contextmanager
 def _no_lease_wait() -> Iterator[None]:
-    """Leases are taken to end 2.2 s early."""
+    """Leases are assumed to end 2.2 s early."""
     original = OwnershipTiming.end_of
 
-    def early(self: OwnershipTiming, duration: float) -> float:
+    def shortened(self: OwnershipTiming, duration: float) -> float:
         return original(dataclasses.replace(self, lease_slack=-2.2), duration)
 
-    with mock.patch.object(OwnershipTiming, "end_of", early):
+    with mock.patch.object(OwnershipTiming, "end_of", shortened):
         yield
 
 
@@ -34,12 +34,12 @@
 def _no_takeover_wait() -> Iterator[None]:
     original = service.ServiceOwnership._take_over
 
-    def careless(self: service.ServiceOwnership, record: Any, now: float) -> None:
+    def patched(self: service.ServiceOwnership, record: Any, now: float) -> None:
         original(self, record, now)
         for item in self.ranges:
             item.held_until = now
 
-    with mock.patch.object(service.ServiceOwnership, "_take_over", careless):
+    with mock.patch.object(service.ServiceOwnership, "_take_over", patched):
         yield
 
 
@@ -51,13 +51,13 @@
 
 @contextmanager
 def _grant_before_release() -> Iterator[None]:
-    def careless(self: service.ServiceOwnership, now: float) -> None:
+    def patched(self: service.ServiceOwnership, now: float) -> None:
         for found in self.ranges:
             if found.phase is Phase.RELEASING:
                 found.phase = Phase.FREE
                 found.held_until = now
 
-    with mock.patch.object(service.ServiceOwnership, "_send_releases", careless):
+    with mock.patch.object(service.ServiceOwnership, "_send_releases", patched):
         yield
 
 
@@ -69,12 +69,12 @@
 
 @contextmanager
 def _early_give_up() -> Iterator[None]:
-    """Keys of a former life are free before the later one refuses older orders."""
+    """Keys of a former incarnation are freed before the later one refuses older orders."""
 
-    def careless(self: service.ServiceOwnership, found: RangeState, now: float) -> bool:
+    def patched(self: service.ServiceOwnership, found: RangeState, now: float) -> bool:
         return now >= found.held_until or self._has_begun_again(found.owner)
 
-    with mock.patch.object(service.ServiceOwnership, "_is_given_up", careless):
+    with mock.patch.object(service.ServiceOwnership, "_is_given_up", patched):
         yield
 
 
@@ -86,14 +86,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sabotage:
-    """A broken rule.
+    """A rule that is broken on purpose.
 
     Parameters
     ----------
     fault
-        What brings it to light; empty for any.
+        The fault that exposes the violation; empty if all faults together do.
     violation
-        Part of the text by which a run reports it.
+        Part of the text with which a run reports the violation.
     """
 
     patch: Callable[[], Any]
--- a/src/limedeck_lab/ownership/store.py
+++ b/src/limedeck_lab/ownership/store.py
@@ -1,4 +1,4 @@
-"""A store in simulated time: linearizable, but slow, down, or silent after it has written."""
+"""A store in simulated time: linearizable, but possibly slow, down, or silent after a write."""
 
 from __future__ import annotations
 
@@ -23,41 +23,42 @@
 )
 
 CALL_TIME: Seconds = 0.004
-TIMEOUT: Seconds = 1.0
+CALL_TIMEOUT: Seconds = 1.0
 UNAVAILABLE = 503
-LATEST: Seconds = 6.0
+MAX_WRITE_DELAY: Seconds = 6.0
 
 StoreProcess = Generator[simpy.Event, object, object]
 
 
 @dataclass
 class StoreFaults:
-    """What is wrong with the store now.
+    """Current faults of the store.
 
     Parameters
     ----------
     refuses
-        Calls are refused, and nothing is done.
+        Calls are refused and have no effect.
     silent
-        Calls get no answer, and nothing is done.
-    slowness
-        Calls take so many times as long.
+        Calls get no response and have no effect.
+    slowdown
+        Factor by which calls take longer.
     lost_share
-        So many writes are done and not answered.
+        Fraction of writes that are applied but get no response.
     late_share
-        So many writes are not answered, and done seconds later if their condition still holds.
+        Fraction of writes that get no response and are applied seconds later if their conditions
+        still hold.
     """
 
     refuses: bool = False
     silent: bool = False
-    slowness: float = 1.0
+    slowdown: float = 1.0
     lost_share: float = 0.0
     late_share: float = 0.0
 
 
 @dataclass
 class SimulatedStore:
-    """Rows with versions from one counter."""
+    """Rows whose versions come from one counter."""
 
     environment: simpy.Environment
     random: random.Random
@@ -66,33 +67,33 @@
     version: int = 0
 
     def read(self, table: str, reachable: bool) -> StoreProcess:
-        """Read a table; raises as the real adapter does."""
-        yield from self._reach(reachable)
+        """Read a table; raises the same errors as the real adapter."""
+        yield from self._wait_for_store(reachable)
         rows = tuple(row for key, row in self.rows.items() if key.table == table)
         return TableRead(rows, self.version, self.environment.now)
 
     def transact(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite], reachable: bool
     ) -> StoreProcess:
-        """Write rows if the conditions hold; raises as the real adapter does."""
-        yield from self._reach(reachable)
+        """Write rows if the conditions hold; raises the same errors as the real adapter."""
+        yield from self._wait_for_store(reachable)
         if self.random.random() < self.faults.late_share:
             self.environment.process(self._write_late(conditions, writes))
-            yield self.environment.timeout(TIMEOUT)
+            yield self.environment.timeout(CALL_TIMEOUT)
             raise StoreUnavailable("late")
         written = self._write(conditions, writes)
         if self.random.random() < self.faults.lost_share:
-            yield self.environment.timeout(TIMEOUT)
+            yield self.environment.timeout(CALL_TIMEOUT)
             raise StoreUnavailable("lost")
         if isinstance(written, ConditionFailed):
             raise written
         return written
 
-    def _reach(self, reachable: bool) -> Generator[simpy.Event, object, None]:
+    def _wait_for_store(self, reachable: bool) -> Generator[simpy.Event, object, None]:
         if not reachable or self.faults.silent:
-            yield self.environment.timeout(TIMEOUT)
+            yield self.environment.timeout(CALL_TIMEOUT)
             raise StoreUnavailable("silent")
-        yield self.environment.timeout(CALL_TIME * self.faults.slowness)
+        yield self.environment.timeout(CALL_TIME * self.faults.slowdown)
         if self.faults.refuses:
             raise StoreRefused(UNAVAILABLE)
 
@@ -116,6 +117,6 @@
     def _write_late(
         self, conditions: Sequence[RowCondition], writes: Sequence[RowWrite]
     ) -> StoreProcess:
-        yield self.environment.timeout(self.random.uniform(1.0, LATEST))
+        yield self.environment.timeout(self.random.uniform(1.0, MAX_WRITE_DELAY))
         self._write(conditions, writes)
         return None
--- a/src/limedeck_lab/ownership/world.py
+++ b/src/limedeck_lab/ownership/world.py
@@ -1,4 +1,4 @@
-"""Nodes, back ends and a store in simulated time, random faults, and a judge of ownership."""
+"""Nodes, back ends and a store in simulated time, random faults, and a check of ownership."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 from limedeck_lab.ownership.node import SimulatedNode
 from limedeck_lab.ownership.store import SimulatedStore
 
-POSITIONS = 48
-JUDGE_INTERVAL: Seconds = 0.02
-LATEST_ORDER: Seconds = 12.0
-EARLIEST_LATE_ORDER: Seconds = 2.0
-SPACING_OF_ALL_FAULTS = (0.3, 4.0)
-"""In seconds; faults overlap."""
-SPACING_OF_ONE_FAULT = (14.0, 18.0)
-"""In seconds; each of one kind is over before the next."""
-LIMIT = 4.2
-"""Requests a second that a back end in need takes, for which permits are asked all the time."""
-START: Seconds = 8.0
-"""Before the first fault: a leader is elected, and all keys have owners."""
-HEALING: Seconds = 45.0
-"""After the last fault: longest lease of a leader that is cut off, and everything else."""
+KEY_POSITIONS = 48
+CHECK_INTERVAL: Seconds = 0.02
+MAX_ORDER_DELAY: Seconds = 12.0
+MIN_ORDER_DELAY: Seconds = 2.0
+MIXED_FAULTS_INTERVAL = (0.3, 4.0)
+"""Bounds in seconds of the time between faults of several kinds, which overlap."""
+SINGLE_FAULT_INTERVAL = (14.0, 18.0)
+"""Bounds in seconds with one kind of fault: each fault is over before the next begins."""
+RATE_LIMIT = 4.2
+"""Requests per second that the rate-bound back end takes; permits are requested all the time."""
+STARTUP_TIME: Seconds = 8.0
+"""Before the first fault; a leader is elected and all keys get owners within this time."""
+RECOVERY_TIME: Seconds = 45.0
+"""After the last fault; covers the longest lease granted by a leader that is cut off, and the rest
+of the recovery."""
 
 
 @dataclass(frozen=True)
@@ -50,7 +51,7 @@
     Parameters
     ----------
     timing
-        Of the product; a sabotaged one must be caught.
+        The product's timing, or a sabotaged one, which the check has to detect.
     """
 
     def __init__(
@@ -59,47 +60,51 @@
         self.environment = simpy.Environment()
         self.random = random.Random(seed)
         self.timing = timing
-        self.positions = POSITIONS
+        self.positions = KEY_POSITIONS
         self.store = SimulatedStore(self.environment, self.random)
         self.nodes: dict[str, SimulatedNode] = {}
         self.backends: dict[str, SimulatedBackend] = {}
         self.late_orders = 0.0
         self.pair_cuts: set[tuple[str, str]] = set()
-        self.judges_late_grants = False
+        self.counts_late_grants = False
         self.found: list[DoubleOwner] = []
-        self.lent_at: list[Seconds] = []
+        self.permits_issued_at: list[Seconds] = []
         self.faults = WorldFaults(self)
-        self.begun: Counter[str] = Counter()
+        self.fault_counts: Counter[str] = Counter()
         self.longest_without_owner: Seconds = 0.0
         self._without_owner: dict[int, Seconds] = {}
-        self._lives = 0
+        self._incarnation_count = 0
         for index in range(node_count):
             self.start_node(f"node-{index}")
         for _ in range(backend_count):
             self.start_backend()
-        self.environment.process(self._judge())
+        self.environment.process(self._check_owners())
 
-    # ------------------------------------------------------------------ parts
+    # ------------------------------------------------------------------ nodes and back ends
 
     def start_node(self, node_id: str) -> None:
-        """Start a node, or a new life of one."""
-        self._lives += 1
-        self.nodes[node_id] = SimulatedNode(self, node_id, self._lives)
+        """Start a node, or a new incarnation of one."""
+        self._incarnation_count += 1
+        self.nodes[node_id] = SimulatedNode(self, node_id, self._incarnation_count)
 
     def kill_node(self, node_id: str) -> None:
         """End a node's process at once."""
         self.nodes[node_id].up = False
 
     def start_backend(self, instance: str = "") -> SimulatedBackend:
-        """Start a back end, or another life of one."""
-        self._lives += 1
-        name = incarnation_id(instance, self._lives) if instance else f"backend-{self._lives}"
+        """Start a back end, or another incarnation of one."""
+        self._incarnation_count += 1
+        name = (
+            incarnation_id(instance, self._incarnation_count)
+            if instance
+            else f"backend-{self._incarnation_count}"
+        )
         backend = SimulatedBackend(name, self.positions, instance=instance)
         self.backends[backend.backend_id] = backend
         return backend
 
     def listing(self) -> dict[str, Backend]:
-        """The store's list of back ends."""
+        """Return the back ends listed in the store."""
         return {
             item.backend_id: Backend(
                 item.backend_id, "service", "127.0.0.1:1", "z", 2, item.draining
@@ -108,73 +113,78 @@
             if item.listed
         }
 
-    def take(self, backend: SimulatedBackend, order: Grant | Release, late: bool) -> bool:
-        """Carry out an order at a back end."""
+    def deliver(self, backend: SimulatedBackend, order: Grant | Release, late: bool) -> bool:
+        """Deliver an order to a back end; return whether it accepted the order."""
         if isinstance(order, Grant):
             return backend.grant(order, self.environment.now, late)
         backend.release(order)
         return True
 
-    def take_late(self, order: Grant | Release) -> None:
-        """Carry out an order seconds later."""
-        self.environment.process(self._take_late(order))
+    def deliver_late(self, order: Grant | Release) -> None:
+        """Deliver an order seconds later."""
+        self.environment.process(self._deliver_late(order))
 
-    def _take_late(self, order: Grant | Release) -> Generator[simpy.Event, object, None]:
-        span = self.random.uniform(EARLIEST_LATE_ORDER, LATEST_ORDER)
+    def _deliver_late(self, order: Grant | Release) -> Generator[simpy.Event, object, None]:
+        span = self.random.uniform(MIN_ORDER_DELAY, MAX_ORDER_DELAY)
         yield self.environment.timeout(span)
-        backend = self.addressed(order)
+        backend = self.addressee_of(order)
         if backend is not None and backend.up:
-            self.take(backend, order, late=True)
+            self.deliver(backend, order, late=True)
 
-    def addressed(self, order: Grant | Release) -> SimulatedBackend | None:
-        """Return the back end that an order reaches: the newest life of the one meant."""
+    def addressee_of(self, order: Grant | Release) -> SimulatedBackend | None:
+        """Return the back end that an order reaches: the newest incarnation of its addressee."""
         meant = self.backends.get(order.backend_id)
         if meant is None:
             return None
         return [item for item in self.backends.values() if item.instance == meant.instance][-1]
 
-    # ------------------------------------------------------------------ judging
+    # ------------------------------------------------------------------ checks
 
-    def _judge(self) -> Generator[simpy.Event, object, None]:
+    def _check_owners(self) -> Generator[simpy.Event, object, None]:
         while True:
-            yield self.environment.timeout(JUDGE_INTERVAL)
+            yield self.environment.timeout(CHECK_INTERVAL)
             now = self.environment.now
-            self._borrow(now)
+            self._request_permits(now)
             for key in range(self.positions):
                 owners = tuple(
                     item.backend_id
                     for item in self.backends.values()
-                    if item.holds(key, now, self.judges_late_grants)
+                    if item.holds(key, now, self.counts_late_grants)
                 )
                 if len(owners) > 1:
                     self.found.append(DoubleOwner(now, key, owners))
-                self._note_owned(key, bool(owners), now)
+                self._record_owned(key, bool(owners), now)
 
-    def _note_owned(self, key: int, is_owned: bool, now: Seconds) -> None:
-        if is_owned or now < START:
+    def _record_owned(self, key: int, is_owned: bool, now: Seconds) -> None:
+        if is_owned or now < STARTUP_TIME:
             self._without_owner.pop(key, None)
             return
         since = self._without_owner.setdefault(key, now)
         self.longest_without_owner = max(self.longest_without_owner, now - since)
 
-    def _borrow(self, now: Seconds) -> None:
-        """Ask every node that believes to lead for a permit for the same back end."""
+    def _request_permits(self, now: Seconds) -> None:
+        """Request a permit for the same back end from every node that believes it leads."""
         for node in self.nodes.values():
             if not node.up or node.paused:
                 continue
-            answer = node.lending.issue(PermitRequest(RateBound("limited", LIMIT), 0.0), None, now)
+            answer = node.permit_issuer.issue(
+                PermitRequest(RateBound("limited", RATE_LIMIT), 0.0), None, now
+            )
             if isinstance(answer, Permit):
-                self.lent_at.append(now)
+                self.permits_issued_at.append(now)
 
-    def most_lent(self, window: Seconds) -> int:
-        """Return the most permits that all nodes together lent in any window."""
+    def max_permits_issued(self, window: Seconds) -> int:
+        """Return the most permits that all nodes together issued within any window."""
         return max(
-            (sum(at <= other < at + window for other in self.lent_at) for at in self.lent_at),
+            (
+                sum(at <= other < at + window for other in self.permits_issued_at)
+                for at in self.permits_issued_at
+            ),
             default=0,
         )
 
     def unserved(self) -> list[int]:
-        """Keys that no back end holds now."""
+        """Return the keys that no back end holds now."""
         now = self.environment.now
         return [
             key
@@ -185,20 +195,20 @@
     # ------------------------------------------------------------------ runs
 
     def run_with_faults(self, seconds: Seconds, names: Sequence[str] = FAULTS) -> None:
-        """Run with random faults for a while, then without any until all must be well.
+        """Run with random faults for a time, then without any until the system must have recovered.
 
         Parameters
         ----------
         names
-            Which faults happen; none of a kind begins while the only one there is goes on.
+            Kinds of faults to draw from. With a single kind, each fault ends before the next.
         """
-        self.environment.run(until=START)
+        self.environment.run(until=STARTUP_TIME)
         faults = [getattr(self.faults, name) for name in names]
-        low, high = SPACING_OF_ONE_FAULT if len(names) == 1 else SPACING_OF_ALL_FAULTS
+        low, high = SINGLE_FAULT_INTERVAL if len(names) == 1 else MIXED_FAULTS_INTERVAL
         end = self.environment.now + seconds
         while faults and self.environment.now < end:
             fault = self.random.choice(faults)
-            self.begun[fault.__name__] += 1
+            self.fault_counts[fault.__name__] += 1
             self.environment.process(fault())
             self.environment.run(until=self.environment.now + self.random.uniform(low, high))
-        self.environment.run(until=end + HEALING)
+        self.environment.run(until=end + RECOVERY_TIME)
--- a/src/limedeck_lab/standins/__init__.py
+++ b/src/limedeck_lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around limedeck, each with faults that are switched at run time."""
+"""Stand-ins for the systems around limedeck, with faults that can be set at run time."""
--- a/src/limedeck_lab/standins/backend.py
+++ b/src/limedeck_lab/standins/backend.py
@@ -1,6 +1,6 @@
-"""A back end without I/O: takes fenced grants, runs work within slots, and counts what it ran.
+"""A back end without I/O: accepts fenced grants, runs work in slots, and counts executions.
 
-The HTTP stand-in and the simulation drive the same object with the time of its own clock.
+The HTTP stand-in and the simulation drive it with the time of the back end's own clock.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from limedeck.keyspace.slices import RangeLookup
 
 LOAD_WINDOW: Seconds = 5.0
-"""Requests are counted over a window of about this length for the reported load."""
+"""Approximate length of the window over which requests are counted for the reported load."""
 
 
 class Refusal(enum.Enum):
-    """Why a back end does not run a request, as its ``limedeck-refusal`` header says."""
+    """Why a back end does not run a request; the value of its ``limedeck-refusal`` header."""
 
     NOT_OWNER = "not-owner"
     SHED = "shed"
@@ -29,17 +29,17 @@
 
 @dataclass(frozen=True)
 class BackendRules:
-    """What a back end checks; the lab breaks one at a time to see it caught.
+    """Rules that a back end follows; the lab breaks one at a time to test that this is detected.
 
     Parameters
     ----------
     checks_fences
         Refuses grants that are not above the highest fence it has seen.
     holds_until_clock
-        Takes a grant to hold until its clock reads the given time; otherwise for `duration`
-        from when the grant came.
+        Holds a grant until its clock reads the given time; otherwise for `duration` from the
+        grant's arrival.
     duration
-        Seconds, for the broken rule only.
+        How long grants are held if `holds_until_clock` is false.
     """
 
     checks_fences: bool = True
@@ -49,12 +49,12 @@
 
 @dataclass
 class Work:
-    """A request that a back end has taken on.
+    """A request that a back end has admitted.
 
     Parameters
     ----------
     position
-        On the key line; None for a service that needs no owner.
+        In the key space; None for a service whose keys have no owners.
     """
 
     request_id: str
@@ -69,11 +69,11 @@
     Parameters
     ----------
     slots
-        Requests it runs at the same time.
+        Number of requests that it runs at the same time.
     queue_limit
-        Requests that wait for a slot; more are shed.
+        Number of requests that may wait for a slot; more are shed.
     keyed
-        Whether keys have owners.
+        Whether the service's keys have owners.
     """
 
     backend_id: str
@@ -97,7 +97,7 @@
     # ------------------------------------------------------------------ leases
 
     def handle_lease(self, request: LeaseRequest, now: Seconds) -> LeaseReply:
-        """Take in a probe or a grant."""
+        """Handle a probe or a grant."""
         accepted = self._accept(request, now)
         self._settle()
         return LeaseReply(
@@ -123,7 +123,7 @@
             return False
         version = (request.owned_version.term, request.owned_version.sequence)
         if request.HasField("owned"):
-            self._take_ranges(request.owned, version)
+            self._set_ranges(request.owned, version)
         elif version != self.owned_version:
             return False
         self.held_until = request.until
@@ -131,7 +131,7 @@
             self.held_until = now + self.rules.duration
         return True
 
-    def _take_ranges(self, owned: RangeSet, version: tuple[int, int]) -> None:
+    def _set_ranges(self, owned: RangeSet, version: tuple[int, int]) -> None:
         self._owned = RangeLookup((item.start, item.end or KEY_LINE_END) for item in owned.ranges)
         self.owned_version = version
 
@@ -141,17 +141,17 @@
             self._settled_version = self.owned_version
 
     def owns(self, position: int, now: Seconds) -> bool:
-        """Whether it may serve a key now."""
+        """Whether the back end may serve a key now."""
         return now < self.held_until and position in self._owned
 
     def owned_ranges(self, now: Seconds) -> list[tuple[int, int]]:
-        """Ranges that it may serve now."""
+        """Return the ranges that the back end may serve now."""
         return self._owned.ranges() if now < self.held_until else []
 
     # ------------------------------------------------------------------ work
 
     def admit(self, work: Work, now: Seconds) -> int | Refusal:
-        """Take a request on and return its number, or refuse it."""
+        """Admit a request and return its number, or refuse it."""
         if self.draining and not self.keyed:
             return Refusal.DRAINING
         if work.position is not None and not self.owns(work.position, now):
@@ -161,11 +161,11 @@
         self._work_count += 1
         self.in_flight[self._work_count] = work
         if work.position is not None:
-            self._note_load(work.position, now)
+            self._record_load(work.position, now)
         return self._work_count
 
     def execute(self, number: int, now: Seconds) -> Refusal | None:
-        """Do a request's effect, if it may still be done; return why not otherwise."""
+        """Execute a request if the back end still owns its key; return the refusal otherwise."""
         work = self.in_flight[number]
         if work.position is not None and not self.owns(work.position, now):
             return Refusal.NOT_OWNER
@@ -174,12 +174,12 @@
         return None
 
     def finish(self, number: int) -> None:
-        """Give a request's slot back."""
+        """Release a request's slot."""
         self.in_flight.pop(number, None)
 
     # ------------------------------------------------------------------ load
 
-    def _note_load(self, position: int, now: Seconds) -> None:
+    def _record_load(self, position: int, now: Seconds) -> None:
         self._decay(now)
         start = self._range_start(position)
         self._rates[start] = self._rates.get(start, 0.0) + 1.0 / LOAD_WINDOW
--- a/src/limedeck_lab/standins/backend_server.py
+++ b/src/limedeck_lab/standins/backend_server.py
@@ -1,4 +1,4 @@
-"""Several hollow back ends behind one HTTP server, one port each, with faults."""
+"""Several stand-in back ends behind one HTTP server, one port each, with faults."""
 
 from __future__ import annotations
 
@@ -29,26 +29,27 @@
 
 
 class BackendFaults(BaseModel):
-    """Faults of one back end, switched by ``PUT /lab/v1/faults`` on its port.
+    """Faults of one back end, set by ``PUT /lab/v1/faults`` on its port.
 
     Parameters
     ----------
     frozen
-        Every call waits until this is taken back, then goes on as if nothing had happened.
+        Every call waits until this is reset and then continues normally.
     shed_all
-        Refuses all work.
+        All work is refused.
     health
-        What the health page claims, whatever is true.
+        Text that the health endpoint returns, whatever the actual state.
     reported_in_flight
-        What the load page claims, whatever is true; set it to an old value for one that lags.
+        Load that the load endpoint reports instead of the actual one, such as an old value to
+        simulate a report that lags.
     cut_before, cut_after
-        The connection is cut before, or after, the work is done; no answer.
+        The connection is closed before or after the work is done, without a response.
     half_answer
-        Half of the answer is sent, then the connection is cut.
+        Half of the response is sent, then the connection is closed.
     answer_delay_seconds
-        Added between the work and its answer.
+        Delay between the work and its response.
     cold_factor
-        Work takes so many times longer right after the start; this falls to 1 within
+        Factor by which work takes longer right after the start; it falls to 1 within
         `COLD_SECONDS`.
     """
 
@@ -65,14 +66,14 @@
 
 @dataclass(frozen=True)
 class BackendSpecification:
-    """A back end to stand in for.
+    """Describes a stand-in back end.
 
     Parameters
     ----------
     address
-        IP number and port.
+        IP address and port.
     service_seconds
-        Mean time that a request occupies a slot.
+        Mean time for which a request occupies a slot.
     """
 
     backend_id: str
@@ -84,12 +85,12 @@
 
 
 class ConnectionCut(Exception):
-    """Raised to have the server cut a connection without an answer."""
+    """Raised to make the server close a connection without a response."""
 
 
 @dataclass
 class ServedBackend:
-    """A hollow back end and what its HTTP side needs."""
+    """A stand-in back end and the state of its HTTP side."""
 
     specification: BackendSpecification
     backend: HollowBackend
@@ -101,18 +102,18 @@
         self.slots = anyio.Semaphore(self.specification.slots)
         self.thawed.set()
 
-    def slowness(self, now: float) -> float:
-        """How many times longer work takes now, for a back end that starts cold."""
+    def slowdown(self, now: float) -> float:
+        """Return the factor by which work takes longer now, for a back end that starts cold."""
         warmth = min((now - self.started_at) / COLD_SECONDS, 1.0)
         return self.faults.cold_factor + (1.0 - self.faults.cold_factor) * warmth
 
-    async def pass_freeze(self) -> None:
+    async def wait_while_frozen(self) -> None:
         """Wait while the back end is frozen."""
         while self.faults.frozen:
             await self.thawed.wait()
 
     def set_faults(self, faults: BackendFaults) -> None:
-        """Switch faults."""
+        """Set the faults."""
         self.faults = faults
         if faults.frozen:
             self.thawed = anyio.Event()
@@ -126,18 +127,18 @@
     Parameters
     ----------
     seed
-        Of the service times.
+        Seed of the random service times.
     """
 
     def __init__(self, specifications: Sequence[BackendSpecification], seed: int = 1) -> None:
         self._random = random.Random(seed)
         self._by_port = {
-            int(item.address.rpartition(":")[2]): ServedBackend(item, _hollow(item))
+            int(item.address.rpartition(":")[2]): ServedBackend(item, _new_backend(item))
             for item in specifications
         }
 
     async def serve(self, stop: anyio.Event) -> None:
-        """Answer on all ports until told to stop."""
+        """Serve all ports until `stop` is set."""
         config = http_config("", SERVER_GRACE)
         config.bind = [item.specification.address for item in self._by_port.values()]
         config.backlog = 512
@@ -152,16 +153,16 @@
         if path.startswith("/lab/v1/"):
             await self._lab(served, path, receive, send)
             return
-        await served.pass_freeze()
+        await served.wait_while_frozen()
         if path == LEASE_PATH:
             await self._lease(served, receive, send)
         elif path == "/limedeck/v1/health":
-            await _answer(send, 200, served.faults.health.encode())
+            await _respond(send, 200, served.faults.health.encode())
         elif path == "/limedeck/v1/load":
             claimed = served.faults.reported_in_flight
             true_load = len(served.backend.in_flight)
             load = {"in_flight": true_load if claimed is None else claimed}
-            await _answer(send, 200, json.dumps(load).encode())
+            await _respond(send, 200, json.dumps(load).encode())
         else:
             await self._work(served, scope, receive, send)
 
@@ -169,28 +170,28 @@
         body = await _read_body(receive)
         if path == "/lab/v1/executions":
             content = json.dumps(served.backend.executions).encode()
-            await _answer(send, 200, content)
+            await _respond(send, 200, content)
         elif path == "/lab/v1/faults":
             try:
                 served.set_faults(BackendFaults.model_validate_json(body))
             except ValidationError as error:
-                await _answer(send, 400, str(error).encode())
+                await _respond(send, 400, str(error).encode())
                 return
-            await _answer(send, 200, b"{}")
+            await _respond(send, 200, b"{}")
         elif path == "/lab/v1/drain":
             served.backend.draining = True
-            await _answer(send, 200, b"{}")
+            await _respond(send, 200, b"{}")
         else:
-            await _answer(send, 404, b"{}")
+            await _respond(send, 404, b"{}")
 
     async def _lease(self, served: ServedBackend, receive: Receive, send: Send) -> None:
         try:
             request = LeaseRequest.FromString(await _read_body(receive))
         except DecodeError:
-            await _answer(send, 400, b"not a lease request")
+            await _respond(send, 400, b"not a lease request")
             return
         reply = served.backend.handle_lease(request, steady_clock())
-        await _answer(send, 200, reply.SerializeToString(), PROTOBUF_TYPE)
+        await _respond(send, 200, reply.SerializeToString(), PROTOBUF_TYPE)
 
     async def _work(
         self, served: ServedBackend, scope: Scope, receive: Receive, send: Send
@@ -220,12 +221,12 @@
         if refusal is not None:
             await _refuse(send, refusal)
             return
-        await self._answer_work(served, work, scope, body, send)
+        await self._respond_to_work(served, work, scope, body, send)
 
     async def _run_unless_cancelled(
         self, served: ServedBackend, number: int, deadline: float, receive: Receive
     ) -> Refusal | None:
-        """Run a request; one whose caller goes away first is not run."""
+        """Run a request unless its caller disconnects first."""
         refusal: Refusal | None = None
         async with anyio.create_task_group() as tasks:
 
@@ -241,14 +242,14 @@
 
     async def _run(self, served: ServedBackend, number: int, deadline: float) -> Refusal | None:
         async with served.slots:
-            mean = served.specification.service_seconds * served.slowness(steady_clock())
+            mean = served.specification.service_seconds * served.slowdown(steady_clock())
             await anyio.sleep(self._random.uniform(0.5, 1.5) * mean)
-            await served.pass_freeze()
+            await served.wait_while_frozen()
             if steady_clock() > deadline:
                 return Refusal.EXPIRED
             return served.backend.execute(number, steady_clock())
 
-    async def _answer_work(
+    async def _respond_to_work(
         self, served: ServedBackend, work: Work, scope: Scope, body: bytes, send: Send
     ) -> None:
         if served.faults.cut_after:
@@ -266,14 +267,14 @@
         ).encode()
         content += b" " * _padding(scope)
         if served.faults.half_answer:
-            await _start(send, 200, len(content), "application/json")
+            await _send_head(send, 200, len(content), "application/json")
             half = content[: len(content) // 2]
             await send({"type": "http.response.body", "body": half, "more_body": True})
             raise ConnectionCut
-        await _answer(send, 200, content)
+        await _respond(send, 200, content)
 
 
-def _hollow(specification: BackendSpecification) -> HollowBackend:
+def _new_backend(specification: BackendSpecification) -> HollowBackend:
     return HollowBackend(
         specification.backend_id,
         new_incarnation(),
@@ -284,7 +285,7 @@
 
 
 def _padding(scope: Scope) -> int:
-    """Bytes to add to an answer, as ``?bytes=N`` asks for."""
+    """Return the number of bytes to add to a response, as requested with ``?bytes=N``."""
     query: str = scope["query_string"].decode()
     name, _, value = query.partition("=")
     return int(value) if name == "bytes" and value.isdigit() else 0
@@ -301,7 +302,7 @@
             return bytes(body)
 
 
-async def _start(
+async def _send_head(
     send: Send,
     status: int,
     length: int,
@@ -318,24 +319,24 @@
 
 
 async def _cut(send: Send) -> NoReturn:
-    """Have the server close the connection without an answer.
+    """Make the server close the connection without a response.
 
-    An error before the head of an answer would be answered with status 500; the head itself is
-    sent only with the first part of the body.
+    An error before the head of a response would lead to status 500; the head itself is sent only
+    with the first part of the body.
     """
-    await _start(send, 200, 1, "application/json")
+    await _send_head(send, 200, 1, "application/json")
     raise ConnectionCut
 
 
-async def _answer(
+async def _respond(
     send: Send, status: int, content: bytes, content_type: str = "application/json"
 ) -> None:
-    await _start(send, status, len(content), content_type)
+    await _send_head(send, status, len(content), content_type)
     await send({"type": "http.response.body", "body": content})
 
 
 async def _refuse(send: Send, refusal: Refusal) -> None:
     status = 421 if refusal is Refusal.NOT_OWNER else 503
     header = (REFUSAL_HEADER.encode(), refusal.value.encode())
-    await _start(send, status, 0, "application/json", header)
+    await _send_head(send, status, 0, "application/json", header)
     await send({"type": "http.response.body", "body": b""})
--- a/src/limedeck_lab/standins/platform_server.py
+++ b/src/limedeck_lab/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP: table, object store and machine list, with faults."""
+"""Stand-in for the platform over HTTP: table, object store and machine list, with faults."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 
 
 class PlatformFaults(BaseModel):
-    """Faults of the platform, switched by ``PUT /lab/v1/faults``.
+    """Faults of the platform, set by ``PUT /lab/v1/faults``.
 
     Parameters
     ----------
     down
-        Every call is answered 503.
+        Every call gets status 503.
     delay_seconds
-        Every call takes so much longer.
+        Time by which every call is delayed.
     lost_answers
-        So many of the next transactions are done but answered 503.
+        Number of next transactions that are applied but get status 503.
     refused_calls
-        So many of the next calls are refused as if there had been too many.
+        Number of next calls that are refused as if over the rate limit.
     """
 
     down: bool = False
@@ -56,20 +56,20 @@
 
 @dataclass
 class RateLimit:
-    """Token bucket over all calls.
+    """Token bucket for all calls.
 
     Parameters
     ----------
     per_second
-        Calls allowed a second; zero for no limit.
+        Calls allowed per second; zero for no limit.
     """
 
     per_second: float
     tokens: float = 0.0
     refilled_at: float = field(default_factory=time.monotonic)
 
-    def take(self) -> bool:
-        """Use up one call if one is left."""
+    def try_acquire(self) -> bool:
+        """Take a token; return whether there was one."""
         if self.per_second == 0:
             return True
         now = time.monotonic()
@@ -88,7 +88,7 @@
     Parameters
     ----------
     calls_per_second
-        Rate limit over table and object store together; zero for none.
+        Rate limit for table and object store together; zero for none.
     """
 
     def __init__(self, calls_per_second: float = 0.0) -> None:
@@ -110,16 +110,16 @@
         )
 
     async def serve(self, address: str, stop: anyio.Event) -> None:
-        """Answer until told to stop."""
+        """Serve until `stop` is set."""
         config = http_config(address, SERVER_GRACE)
         await serve(self.application, config, shutdown_trigger=stop.wait, mode="asgi")  # type: ignore[arg-type]
 
-    async def _trouble(self) -> Response | None:
-        """Wait as the faults say; return the answer if the call is not to be done."""
+    async def _fault_response(self) -> Response | None:
+        """Apply the faults; return a response if the call is not to be handled."""
         if self.faults.refused_calls > 0:
             self.faults.refused_calls -= 1
             return _too_many()
-        if not self._rate.take():
+        if not self._rate.try_acquire():
             return _too_many()
         if self.faults.delay_seconds > 0:
             await anyio.sleep(self.faults.delay_seconds)
@@ -128,9 +128,9 @@
         return None
 
     async def _read(self, request: Request) -> Response:
-        trouble = await self._trouble()
-        if trouble is not None:
-            return trouble
+        fault_response = await self._fault_response()
+        if fault_response is not None:
+            return fault_response
         try:
             body = ReadRequestBody.model_validate_json(await request.body())
         except ValidationError as error:
@@ -139,9 +139,9 @@
         return _json(ReadBody(rows=[_row_body(row) for row in rows]))
 
     async def _transact(self, request: Request) -> Response:
-        trouble = await self._trouble()
-        if trouble is not None:
-            return trouble
+        fault_response = await self._fault_response()
+        if fault_response is not None:
+            return fault_response
         try:
             body = TransactRequestBody.model_validate_json(await request.body())
         except ValidationError as error:
@@ -161,9 +161,9 @@
         return _json(TransactBody(revision=revision))
 
     async def _object(self, request: Request) -> Response:
-        trouble = await self._trouble()
-        if trouble is not None:
-            return trouble
+        fault_response = await self._fault_response()
+        if fault_response is not None:
+            return fault_response
         name = request.path_params["name"]
         if request.method == "PUT":
             self.objects[name] = await request.body()
--- a/src/limedeck_lab/standins/row_store.py
+++ b/src/limedeck_lab/standins/row_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of a store of rows behind HTTP, with faults, for contract tests.
+"""A stand-in for a row store behind HTTP, with faults, for tests.
 
-It speaks what an adapter's protocol says; the names are given by the test, so that this module
-knows no platform.
+It implements the protocol that an adapter expects. The test supplies the names of paths and fields,
+so that this module does not depend on a platform.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from starlette.routing import Route
 
 MILLISECONDS = 1000
-FEED_POLL = 0.02
+FEED_POLL_INTERVAL = 0.02
 
 
 class Fault(enum.Enum):
-    """What happens to one call."""
+    """Fault that affects one call."""
 
     REFUSE = "refuse"
     OVER_RATE = "over-rate"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class StoreWords:
-    """What the protocol calls its paths and fields."""
+    """Names of the protocol's paths and fields."""
 
     read: str
     transact: str
@@ -52,11 +52,11 @@
     Parameters
     ----------
     page
-        Rows in one answer to a read.
+        Maximum number of rows in one response to a read.
     forgotten
-        The feed knows no change up to this version.
+        The feed no longer has the changes up to this version.
     patience
-        A lost answer comes after so long, in seconds, when nobody waits for it any more.
+        Delay in seconds of a lost response, which arrives when nobody waits for it any longer.
     """
 
     words: StoreWords
@@ -79,7 +79,7 @@
         )
 
     def drop(self, table: str, part: str, key: str) -> None:
-        """Drop a row, as its writer would."""
+        """Delete a row, as its writer would."""
         self.version += 1
         self._remove((table, part, key))
 
@@ -111,8 +111,8 @@
             and key[1] == query.get("part", "")
             and key[2] >= query.get("from", "")
         )
-        rows = [self._told(key) for key in wanted[: self.page]]
-        return self._answer(200, rows, {self.words.more: len(wanted) > self.page})
+        rows = [self._row_body(key) for key in wanted[: self.page]]
+        return self._response(200, rows, {self.words.more: len(wanted) > self.page})
 
     async def _transact(self, request: Request) -> Response:
         if self.faults and self.faults[0] is not Fault.LOSE_ANSWER:
@@ -123,15 +123,15 @@
         conditions = body[self.words.conditions]
         if any(self._version(item) != item[self.words.version] for item in conditions):
             named = [self._key(item) for item in conditions]
-            rows = [self._told(key) for key in named if key in self.rows]
-            return self._answer(412, rows, {})
+            rows = [self._row_body(key) for key in named if key in self.rows]
+            return self._response(412, rows, {})
         self.version += 1
         for item in body["put"]:
             self.rows[self._key(item)] = (item["value"], self.version)
         for item in body["remove"]:
             self._remove(self._key(item))
         await self._fault()
-        return self._answer(200, [], {})
+        return self._response(200, [], {})
 
     async def _feed(self, request: Request) -> Response:
         failed = await self._fault()
@@ -144,24 +144,24 @@
         deadline = anyio.current_time() + int(request.query_params["wait_ms"]) / MILLISECONDS
         rows = self._changes(table, after)
         while not rows and anyio.current_time() < deadline:
-            await anyio.sleep(FEED_POLL)
+            await anyio.sleep(FEED_POLL_INTERVAL)
             rows = self._changes(table, after)
-        return self._answer(200, rows, {})
+        return self._response(200, rows, {})
 
     def _changes(self, table: str, after: int) -> list[dict[str, Any]]:
         rows = [
-            self._told(key)
+            self._row_body(key)
             for key, (_, version) in self.rows.items()
             if key[0] == table and version > after
         ]
         rows += [
-            {**self._names(key), self.words.version: version, "gone": True}
+            {**self._key_fields(key), self.words.version: version, "gone": True}
             for key, version in self.gone
             if key[0] == table and version > after
         ]
         return rows
 
-    def _answer(self, status: int, rows: list[dict[str, Any]], more: dict[str, Any]) -> Response:
+    def _response(self, status: int, rows: list[dict[str, Any]], more: dict[str, Any]) -> Response:
         body = {"rows": rows, self.words.version: self.version, "now_s": time.monotonic(), **more}
         return JSONResponse(body, status_code=status)
 
@@ -171,12 +171,12 @@
     def _version(self, item: dict[str, Any]) -> int:
         return self.rows.get(self._key(item), ("", 0))[1]
 
-    def _names(self, key: tuple[str, str, str]) -> dict[str, Any]:
+    def _key_fields(self, key: tuple[str, str, str]) -> dict[str, Any]:
         return {"table": key[0], "part": key[1], self.words.key: key[2]}
 
-    def _told(self, key: tuple[str, str, str]) -> dict[str, Any]:
+    def _row_body(self, key: tuple[str, str, str]) -> dict[str, Any]:
         value, version = self.rows[key]
-        return {**self._names(key), "value": value, self.words.version: version}
+        return {**self._key_fields(key), "value": value, self.words.version: version}
 
     def put(self, table: str, key: str, value: bytes) -> None:
         """Write a row, as another process would."""
--- a/src/limedeck_lab/standins/table.py
+++ b/src/limedeck_lab/standins/table.py
@@ -1,4 +1,4 @@
-"""The platform's table, in memory: rows with revisions and transactions over several rows."""
+"""In-memory table of the platform: rows with revisions, and transactions on several rows."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemoryTable:
-    """All rows; every transaction gets the next revision."""
+    """Holds all rows; every transaction gets the next revision."""
 
     def __init__(self) -> None:
         self._rows: SortedDict[str, Row] = SortedDict()
@@ -31,7 +31,7 @@
         return found
 
     def transact(self, conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
-        """Do all writes if all conditions hold.
+        """Apply all writes if all conditions hold.
 
         Raises
         ------
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""Stories from log lines: what is read, what belongs to a story, and in which words."""
+"""Histories from log lines: which lines are read, which are included, and how they are worded."""
 
 from __future__ import annotations
 
@@ -69,12 +69,11 @@
     return [item.text for item in story_of_request(sorted(lines, key=lambda x: x.at), request)]
 
 
-def test_a_request_is_told_from_its_arrival_to_its_end() -> None:
+def test_history_of_a_request_spans_its_arrival_to_its_end() -> None:
     told = story_of_request([FAILED, GIVEN_UP], "r1")
     assert [item.at for item in told] == [99.5, 99.8, 100.0]
     assert told[0].text == (
-        "came in for s, route look, key 7, by owners of term 4, change 3; "
-        "its caller had been here before"
+        "came in for s, route look, key 7, by owners of term 4, change 3; the client sent it again"
     )
     assert told[1].text == (
         "attempt at b1 failed: it was sent, and no usable answer came (connection ended)"
@@ -82,7 +81,7 @@
     assert told[2].text.startswith("given up; a back end may have run it: ")
 
 
-def test_what_bears_on_it_is_told_and_nothing_else() -> None:
+def test_history_includes_relevant_lines_only() -> None:
     others = [
         line(98.0, "n1", "back_end_gone", backend="b1"),
         line(98.1, "n1", "back_end_gone", backend="b2"),
@@ -104,13 +103,13 @@
     assert len(told) == 4 + 3
 
 
-def test_the_owner_at_its_time_is_told_however_long_ago_that_changed() -> None:
+def test_history_includes_the_last_owner_change_however_old() -> None:
     told = texts([moved(10.0, 0, 9, "b0"), moved(20.0, 5, 8, "b1"), GIVEN_UP])
     assert [text.split(":")[0] for text in told[:1]] == ["keys 5 to 8 go from old to b1"]
     assert not any("b0" in text for text in told)
 
 
-def test_what_is_said_again_and_again_is_told_once() -> None:
+def test_repeated_sentences_are_merged() -> None:
     lost = [
         line(
             98.0 + number * 0.1,
@@ -130,7 +129,7 @@
     assert told.shown().endswith("(15 times until 99.400)")
 
 
-def test_a_refusal_by_belief_tells_what_was_believed() -> None:
+def test_refusal_by_load_estimate_names_the_estimate() -> None:
     limited = line(1.0, "n", "given_up", request="a", reason="limited", backend="b", bound=3.2)
     overloaded = line(
         1.0,
@@ -144,10 +143,12 @@
         load_age=0.1,
     )
     assert "(b takes 3.2 a second)" in texts([limited], "a")[0]
-    assert "2.5 s expected with 9.0 requests there, heard 0.1 s ago" in texts([overloaded], "b")[0]
+    assert (
+        "2.5 s expected with 9.0 requests there, reported 0.1 s ago" in texts([overloaded], "b")[0]
+    )
 
 
-def test_a_key_is_told_with_its_owners_orders_and_failed_requests() -> None:
+def test_history_of_a_key_has_owners_orders_and_failed_requests() -> None:
     lines = [
         line(95.0, "n2", "elected", term=4, why="denied"),
         moved(96.0, 0, 9, "b1"),
@@ -163,12 +164,12 @@
 
 
 @pytest.mark.parametrize("request_id", ["r3", "", "7"])
-def test_a_request_that_no_line_names_is_not_found(request_id: str) -> None:
+def test_request_without_log_lines_is_not_found(request_id: str) -> None:
     with pytest.raises(NothingFound):
         story_of_request([FAILED, GIVEN_UP], request_id)
 
 
-def test_a_key_that_no_line_names_is_not_found() -> None:
+def test_key_without_log_lines_is_not_found() -> None:
     with pytest.raises(NothingFound):
         story_of_key([GIVEN_UP, moved(1.0, 0, 9, "b")], "s", 11, 0.0, 200.0)
 
@@ -183,16 +184,18 @@
         (Suspicion, meanings.SUSPICIONS),
     ],
 )
-def test_every_word_has_a_meaning(kind: type[enum.Enum], known: dict[enum.Enum, str]) -> None:
+def test_every_enum_member_has_a_meaning(
+    kind: type[enum.Enum], known: dict[enum.Enum, str]
+) -> None:
     assert set(kind) == known.keys()
 
 
-def test_a_word_of_another_version_is_told_as_it_is() -> None:
+def test_unknown_values_are_shown_as_logged() -> None:
     assert meanings.meaning_of_reason("tired") == "tired"
     assert owners_version(0) == "no owners known"
 
 
-def test_lines_are_read_as_nodes_write_them_and_as_they_are_collected(tmp_path: Path) -> None:
+def test_lines_are_read_as_written_by_nodes_or_by_a_collector(tmp_path: Path) -> None:
     own = [
         {"event": "started", "node": "edge-1", "clock": 1.0},
         {"event": "configuration", "version": 3, "clock": 2.0},
@@ -212,7 +215,7 @@
     ]
 
 
-def test_what_holds_no_lines_is_an_error_of_its_own(tmp_path: Path) -> None:
+def test_files_without_log_lines_are_reported_as_unreadable(tmp_path: Path) -> None:
     (tmp_path / "empty.log").write_text("nothing\n")
     for path in (tmp_path, tmp_path / "none.log"):
         with pytest.raises(UnreadableLogs):
