--- a/src/limedeck_lab/ownership/node.py
+++ b/src/limedeck_lab/ownership/node.py
@@ -271,8 +271,8 @@
         # An exchange that timed out goes on and takes processor time from the orders after it.
         environment = self.world.environment
         exchange = environment.process(self._process_and_exchange(order))
-        given_up = environment.timeout(self.world.timing.order_timeout)
-        yield environment.any_of([exchange, given_up])
+        timed_out = environment.timeout(self.world.timing.order_timeout)
+        yield environment.any_of([exchange, timed_out])
         return exchange.value if exchange.processed else None
 
     def _process_and_exchange(
--- a/src/limedeck_lab/ownership/world.py
+++ b/src/limedeck_lab/ownership/world.py
@@ -167,10 +167,10 @@
         for node in self.nodes.values():
             if not node.up or node.paused:
                 continue
-            answer = node.permit_issuer.issue(
+            response = node.permit_issuer.issue(
                 PermitRequest(RateBound("limited", RATE_LIMIT), 0.0), None, now
             )
-            if isinstance(answer, Permit):
+            if isinstance(response, Permit):
                 self.permits_issued_at.append(now)
 
     def max_permits_issued(self, window: Seconds) -> int:
--- a/src/limedeck_lab/standins/platform_server.py
+++ b/src/limedeck_lab/standins/platform_server.py
@@ -149,12 +149,12 @@
         try:
             revision = self.table.transact(_conditions(body), _writes(body))
         except TransactionConflict as conflict:
-            answer = ConflictBody(
+            conflict_body = ConflictBody(
                 key=conflict.key,
                 expected=conflict.expected_revision,
                 actual=conflict.actual_revision,
             )
-            return _json(answer, status=409)
+            return _json(conflict_body, status=409)
         if self.faults.lost_answers > 0:
             self.faults.lost_answers -= 1
             return Response(status_code=503)
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -70,15 +70,15 @@
 
 
 def test_history_of_a_request_spans_its_arrival_to_its_end() -> None:
-    told = story_of_request([FAILED, GIVEN_UP], "r1")
-    assert [item.at for item in told] == [99.5, 99.8, 100.0]
-    assert told[0].text == (
+    story = story_of_request([FAILED, GIVEN_UP], "r1")
+    assert [item.at for item in story] == [99.5, 99.8, 100.0]
+    assert story[0].text == (
         "came in for s, route look, key 7, by owners of term 4, change 3; the client sent it again"
     )
-    assert told[1].text == (
+    assert story[1].text == (
         "attempt at b1 failed: it was sent, and no usable answer came (connection ended)"
     )
-    assert told[2].text.startswith("given up; a back end may have run it: ")
+    assert story[2].text.startswith("given up; a back end may have run it: ")
 
 
 def test_history_includes_relevant_lines_only() -> None:
@@ -95,18 +95,18 @@
         moved(98.8, 0, 9, "b4", service="t"),
         moved(101.0, 0, 9, "b5"),
     ]
-    told = texts([*others, FAILED, GIVEN_UP])
-    assert told[0] == "back_end_gone backend b1"
-    assert told[1] == "suspended seconds 1.5"
-    assert told[2] == "elected leader of term 4: the one before was silent"
-    assert told[3].startswith("keys 0 to 9 go from old to b1: the former owner answered no orders")
-    assert len(told) == 4 + 3
+    story = texts([*others, FAILED, GIVEN_UP])
+    assert story[0] == "back_end_gone backend b1"
+    assert story[1] == "suspended seconds 1.5"
+    assert story[2] == "elected leader of term 4: the one before was silent"
+    assert story[3].startswith("keys 0 to 9 go from old to b1: the former owner answered no orders")
+    assert len(story) == 4 + 3
 
 
 def test_history_includes_the_last_owner_change_however_old() -> None:
-    told = texts([moved(10.0, 0, 9, "b0"), moved(20.0, 5, 8, "b1"), GIVEN_UP])
-    assert [text.split(":")[0] for text in told[:1]] == ["keys 5 to 8 go from old to b1"]
-    assert not any("b0" in text for text in told)
+    story = texts([moved(10.0, 0, 9, "b0"), moved(20.0, 5, 8, "b1"), GIVEN_UP])
+    assert [text.split(":")[0] for text in story[:1]] == ["keys 5 to 8 go from old to b1"]
+    assert not any("b0" in text for text in story)
 
 
 def test_repeated_sentences_are_merged() -> None:
@@ -124,9 +124,9 @@
         )
         for number in range(15)
     ]
-    (told, *_) = story_of_request([*lost, GIVEN_UP], "r1")
-    assert told.times == 15
-    assert told.shown().endswith("(15 times until 99.400)")
+    (repeated, *_) = story_of_request([*lost, GIVEN_UP], "r1")
+    assert repeated.times == 15
+    assert repeated.shown().endswith("(15 times until 99.400)")
 
 
 def test_refusal_by_load_estimate_names_the_estimate() -> None:
@@ -156,9 +156,9 @@
         line(98.0, "leader", "released", service="s", first=0, last=30, backend="b1", status=200),
         GIVEN_UP,
     ]
-    told = [item.text for item in story_of_key(lines, "s", 7, 0.0, 200.0)]
-    assert len(told) == 4
-    assert told[2] == "b1 gave up keys 0 to 30 (status 200)"
+    story = [item.text for item in story_of_key(lines, "s", 7, 0.0, 200.0)]
+    assert len(story) == 4
+    assert story[2] == "b1 gave up keys 0 to 30 (status 200)"
     late = story_of_key(lines, "s", 7, 99.0, 200.0)
     assert [item.at for item in late] == [95.0, 100.0]
 
