--- a/src/limedeck/forwarding/admission.py
+++ b/src/limedeck/forwarding/admission.py
@@ -27,7 +27,7 @@
 EARLY_REFUSAL_FRACTION = 0.25
 """Fraction of the objective within which a request may be refused because it is expected to miss
 the objective."""
-LONGEST_RETRY_AFTER: Seconds = 1.0
+MAX_RETRY_AFTER: Seconds = 1.0
 """Limit of Retry-After: by then the estimate of a queue is older than the queue is long."""
 
 
@@ -127,4 +127,4 @@
             return RETRY_AFTER
         excess = now - self.arrived_at + expected - EARLY_REFUSAL_FRACTION * self.route.objective
         spread = 1.0 + 0.5 * hash_fraction(self.request_id)
-        return min(max(excess * spread, RETRY_DELAY), LONGEST_RETRY_AFTER)
+        return min(max(excess * spread, RETRY_DELAY), MAX_RETRY_AFTER)
--- a/src/limedeck/forwarding/availability.py
+++ b/src/limedeck/forwarding/availability.py
@@ -19,7 +19,7 @@
 from limedeck.forwarding.permits import RateBound
 from limedeck.identity import Seconds
 
-OWNER_STOP: Seconds = 2.0
+EVACUATED_OWNER_GRACE: Seconds = 2.0
 """How long an owner in an evacuated zone still receives requests while its keys move, counted from
 when this node learned of the evacuation. Nodes learn of it within one second, or two if the store
 rejects their reads."""
@@ -108,7 +108,7 @@
         if leaving_since is not None and now - leaving_since >= LEAVING_OWNER_GRACE:
             return Unavailable(backend.backend_id, UnavailableCause.LEAVING)
         evacuated_since = self._evacuated.get(backend.zone)
-        if evacuated_since is not None and now - evacuated_since >= OWNER_STOP:
+        if evacuated_since is not None and now - evacuated_since >= EVACUATED_OWNER_GRACE:
             return Unavailable(backend.backend_id, UnavailableCause.EVACUATED)
         backing_off = self.check_backoff(state, now)
         if backing_off is not None:
--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -14,7 +14,7 @@
 """Weight of one response in a back end's service time; about seven responses show a slowdown."""
 LOAD_DECAY_TIME: Seconds = 0.5
 """Time after which a load reported in a response counts only for a third."""
-FLEET_LOAD_LIFE: Seconds = 1.5
+FLEET_LOAD_LIFETIME: Seconds = 1.5
 """How long data sent by the leader about a back end is used; several reports may be missed."""
 FLEET_LOAD_AGE: Seconds = 0.25
 """Age of the nodes' request counts when the leader sends their sum: the mean of the intervals at
@@ -27,16 +27,16 @@
 """Consecutive failures that cause an ejection; a single one may be chance."""
 BASE_EJECTION_TIME: Seconds = 0.5
 """Duration of a back end's first ejection; doubled for each one that follows."""
-ENDED_REST: Seconds = 4.0
+EXIT_COOLDOWN: Seconds = 4.0
 """Exit cooldown: how long a back end whose process exited counts as cold, at most, until its entry
 changes. It is cold when it returns, and says so a second later: requests that hundreds of nodes
 sent meanwhile would overload it. Longer than the time in which the entry of an exited one lapses.
 """
-LONGEST_UNHEARD_REST: Seconds = 20.0
+MAX_EXIT_COOLDOWN_EXTENSION: Seconds = 20.0
 """Time since the last observed process exit until which exit cooldowns are extended while the store
 is unreachable, since no entry can change then. A back end that returned after 2 s and was cold for
 5 s more got 16 to 47 requests in a second where 14 are allowed, from five nodes whose cooldowns of
-`ENDED_REST` were over (soak, seed 420021). Longer than the time for which back ends say that they
+`EXIT_COOLDOWN` were over (soak, seed 420021). Longer than the time for which back ends say that they
 are cold. A node cannot distinguish a back end that no longer needs the cooldown from one that would
 be overloaded."""
 MAX_EJECTION_TIME: Seconds = 4.0
@@ -48,12 +48,12 @@
 """Weight of one response in a back end's mean slowdown, which varies by a factor of three; about 20
 responses give the mean."""
 KNOWN_FULL_FRACTION = 0.8
-"""Fraction of `full_at` from which a back end is assumed to be full: its reported load decays, and
+"""Fraction of `full_load` from which a back end is assumed to be full: its reported load decays, and
 hundreds of requests may be on their way. With `LOAD_DECAY_TIME` it counts as full for 0.1 s after a
 report."""
 MIN_FULL_LOAD_PER_SLOT = 2.0
 """Requests for each slot from which a rejection shows a full queue; with fewer, it is a failure."""
-FULL_QUEUE = 4.0
+ASSUMED_FULL_LOAD_PER_SLOT = 4.0
 """Requests for each slot that a back end is assumed to have, at least, when it rejects one."""
 
 
@@ -91,7 +91,7 @@
         Smoothed time to process one request of the service's present mix, in seconds.
     reports_load
         Whether its responses report how many requests it has.
-    full_at
+    full_load
         Requests that it had when it last rejected one, if it reports its load; None if it never
         did.
     draining_since
@@ -115,7 +115,7 @@
         self.failures = 0
         self.ejections = 0
         self.ejected_until: Seconds = NEVER
-        self.full_at: float | None = None
+        self.full_load: float | None = None
         self.permits_denied_until: Seconds = NEVER
         self._other_requests = 0.0
         self._load_reported_at: Seconds = NEVER
@@ -167,7 +167,7 @@
         excluded
             It fails more often than others and should not be chosen.
         """
-        self._excluded_until = now + FLEET_LOAD_LIFE if excluded else NEVER
+        self._excluded_until = now + FLEET_LOAD_LIFETIME if excluded else NEVER
         self._other_requests_from_leader = float(max(outstanding - self._reported_outstanding, 0))
         self._leader_data_at = now
         if service_time > 0.0:
@@ -243,21 +243,21 @@
         self.failures = max(self.failures, FAILURES_TO_EJECT - 1)
         self.record_failure(now)
         self._exited_at = now
-        self._exit_cooldown_until = now + ENDED_REST
+        self._exit_cooldown_until = now + EXIT_COOLDOWN
 
     def extend_exit_cooldown(self, now: Seconds) -> None:
         """Extend its exit cooldown while the store is unreachable and its entry cannot change."""
         if now < self._exit_cooldown_until:
-            latest = min(now, self._exited_at + LONGEST_UNHEARD_REST)
-            self._exit_cooldown_until = max(self._exit_cooldown_until, latest + ENDED_REST)
+            latest = min(now, self._exited_at + MAX_EXIT_COOLDOWN_EXTENSION)
+            self._exit_cooldown_until = max(self._exit_cooldown_until, latest + EXIT_COOLDOWN)
 
     def record_queue_full(self, now: Seconds) -> None:
         """Record that it rejected a request because its queue is full."""
         if self.reports_load and self._load_reported_at == now:
             load = self.outstanding + self._other_requests
             if load >= MIN_FULL_LOAD_PER_SLOT * self.backend.slots:
-                self.full_at = load
-        least = FULL_QUEUE * self.backend.slots - self.outstanding
+                self.full_load = load
+        least = ASSUMED_FULL_LOAD_PER_SLOT * self.backend.slots - self.outstanding
         self._other_requests = max(
             self._other_requests if self._load_reported_at == now else 0.0, least, 0.0
         )
@@ -272,7 +272,7 @@
         from_responses = self._other_requests
         if from_responses:
             from_responses *= math.exp(-(now - self._load_reported_at) / LOAD_DECAY_TIME)
-        if now - self._leader_data_at >= FLEET_LOAD_LIFE:
+        if now - self._leader_data_at >= FLEET_LOAD_LIFETIME:
             return from_responses
         from_leader = self._other_requests_from_leader * self._other_requests_growth()
         if not self.reports_load:
@@ -295,16 +295,19 @@
 
     def is_full(self, now: Seconds) -> bool:
         """Whether it reports no load and may reset one more request because its queue is full."""
-        return not self.reports_load and self.expected_load(now) >= FULL_QUEUE * self.backend.slots
+        return (
+            not self.reports_load
+            and self.expected_load(now) >= ASSUMED_FULL_LOAD_PER_SLOT * self.backend.slots
+        )
 
     def is_known_full(self, now: Seconds) -> bool:
-        """Whether it reports its load and is expected to have close to `full_at` requests."""
+        """Whether it reports its load and is expected to have close to `full_load` requests."""
         return (
-            self.full_at is not None
-            and self.expected_load(now) >= KNOWN_FULL_FRACTION * self.full_at
+            self.full_load is not None
+            and self.expected_load(now) >= KNOWN_FULL_FRACTION * self.full_load
         )
 
-    def relative_pace(self, now: Seconds) -> float:
+    def relative_slowdown(self, now: Seconds) -> float:
         """Return its present slowdown, as a multiple of its mean slowdown."""
         deviation = self._slowdown / self._mean_slowdown - 1.0
         return 1.0 + deviation * math.exp(-(now - self._load_reported_at) / SLOWDOWN_DECAY_TIME)
--- a/src/limedeck/forwarding/backends.py
+++ b/src/limedeck/forwarding/backends.py
@@ -262,7 +262,7 @@
                 return 0.0
             spread = hash_fraction(state.backend.backend_id.encode() + request_id)
             time = state.expected_time(now, typical) * (1.0 + EXPECTED_TIME_JITTER * spread)
-            time *= state.relative_pace(now)
+            time *= state.relative_slowdown(now)
             return time if state.backend.zone == self._zone else time * OTHER_ZONE_TIME_FACTOR
 
         return min(first, second, key=cost)
--- a/src/limedeck/forwarding/backoffs.py
+++ b/src/limedeck/forwarding/backoffs.py
@@ -16,7 +16,7 @@
 
 MAX_BACKOFF: Seconds = 300.0
 """Caps the requested period, so that a back end can be retried at least this often."""
-RETURN_SPREAD: Seconds = 0.3
+RETRY_SPREAD: Seconds = 0.3
 """Interval over which nodes spread their return after a back-off period."""
 EXPIRY_DELAY: Seconds = 60.0
 """A finished back-off that no served request has confirmed is dropped after this time."""
@@ -35,7 +35,7 @@
     ends_at
         End of the period, after the cap.
     resume_at
-        When this node may send requests again: `ends_at` plus its offset within `RETURN_SPREAD`.
+        When this node may send requests again: `ends_at` plus its offset within `RETRY_SPREAD`.
     """
 
     requested: Seconds
@@ -65,7 +65,7 @@
     Parameters
     ----------
     node_id
-        Determines this node's offset within `RETURN_SPREAD`.
+        Determines this node's offset within `RETRY_SPREAD`.
 
     Attributes
     ----------
@@ -85,7 +85,7 @@
         if seconds <= 0.0 or (known is not None and ends_at <= known.ends_at):
             return
         fraction = hashing.hash_fraction(f"{self._node_id} {backend_id}".encode())
-        backoff = Backoff(seconds, now, ends_at, ends_at + RETURN_SPREAD * fraction)
+        backoff = Backoff(seconds, now, ends_at, ends_at + RETRY_SPREAD * fraction)
         self._backoffs[backend_id] = backoff
         self.events.append(BackoffStarted(backend_id, backoff))
 
--- a/src/limedeck/forwarding/crashes.py
+++ b/src/limedeck/forwarding/crashes.py
@@ -44,7 +44,7 @@
 MAX_CRASHES = 256
 """Crashes remembered at once, the newest; about 0.1 MB. All back ends of a service of 300 may
 crash."""
-MOST_SUSPECTS = 32
+MAX_LOST_PER_CRASH = 32
 """Requests remembered per crash; more than the slots and the queue of a back end hold."""
 MAX_SERVED = 1024
 """Suspects remembered that have been served since their crash; about 0.1 MB."""
@@ -143,7 +143,7 @@
         candidates = sorted(requests)
         candidates.sort(key=self._is_any_suspect, reverse=True)
         for request in candidates:
-            if len(crash.lost) < MOST_SUSPECTS and request not in crash.lost:
+            if len(crash.lost) < MAX_LOST_PER_CRASH and request not in crash.lost:
                 self._add_lost_request(crash, request)
         return number
 
--- a/src/limedeck/forwarding/permits.py
+++ b/src/limedeck/forwarding/permits.py
@@ -140,7 +140,7 @@
         self._last_turns[backend_id] = turn
         return Permit(max(turn - now, 0.0))
 
-    def forget_old(self, now: Seconds) -> None:
+    def drop_expired(self, now: Seconds) -> None:
         """Drop turns that no longer affect any permit."""
         settled = now - MAX_TURN_LAG - 1.0 / MIN_RATE
         for backend_id, turn in list(self._last_turns.items()):
--- a/src/limedeck/forwarding/quarantine.py
+++ b/src/limedeck/forwarding/quarantine.py
@@ -22,7 +22,7 @@
 )
 from limedeck.forwarding.hashing import hash_fraction
 from limedeck.forwarding.quarantine_updates import (
-    BackendEnded,
+    BackendCrashed,
     CrashUpdate,
     Event,
     Quarantine,
@@ -53,12 +53,12 @@
 LOSS_RETENTION: Seconds = SAME_CRASH_WINDOW
 """Longest time between a lost connection and the detection of the process exit that it is
 attributed to; above the time that two checks of the port take."""
-GATHERING: Seconds = 0.8
+MIN_EVALUATION_DELAY: Seconds = 0.8
 """Time from the detection of a crash until it is evaluated. In this time nodes exchange which
 requests each of them lost in it; otherwise two requests that were lost at different nodes would
 each be blamed by the node that lost it. Above the sum of two checks of a port (0.1 s), the interval
 of reports (0.25 s) and that of statuses (0.3 s)."""
-MAX_EVALUATION_DELAY: Seconds = GATHERING + 0.15
+MAX_EVALUATION_DELAY: Seconds = MIN_EVALUATION_DELAY + 0.15
 """Time within which a detected crash has been evaluated: nodes do so ten times a second."""
 MAX_LOST_REQUESTS = 64
 """Lost requests remembered per back end until it is known whether its process exited."""
@@ -67,10 +67,10 @@
 MAX_CHANGES = 2 * (MAX_QUARANTINES + MAX_CRASHES + MAX_SERVED)
 """Recorded changes above which those about forgotten items are dropped; twice as many as can refer
 to remembered items."""
-MOST_TOLD = 600
+MAX_UPDATE_FINGERPRINTS = 600
 """Fingerprints in a message that holds more than one update; such a message has at most 16 kB. A
 node that starts while there are 2,000 quarantines receives all of them within four messages."""
-SIGNS = len(fields(RequestFingerprints))
+FINGERPRINTS_PER_REQUEST = len(fields(RequestFingerprints))
 """Fingerprints of one request."""
 SAME_QUARANTINE_TOLERANCE: Seconds = 1.0
 """Two nodes' quarantines of one request are the same if their ends differ by no more than this."""
@@ -189,7 +189,7 @@
         self._drop_expired(now)
         if not self._has_unevaluated:
             return
-        settled = now - GATHERING
+        settled = now - MIN_EVALUATION_DELAY
         self._has_unevaluated = self._evidence.newest_crash_at() > settled
         for fingerprint in self._evidence.fingerprints_to_quarantine(
             self._quarantines.keys(), settled
@@ -233,7 +233,7 @@
             item = self._current_update(key)
             if item is not None and change.source is not peer:
                 size += _fingerprint_count(item)
-                if found and size > MOST_TOLD:
+                if found and size > MAX_UPDATE_FINGERPRINTS:
                     return found, known_version
                 found.append(item)
             known_version = change.version
@@ -277,7 +277,7 @@
         is_complete = losses <= item.requests
         self._record_change((ChangeKind.CRASH, number), source if is_complete else None)
         if known is None:
-            self.events.append(BackendEnded(item.backend_id, len(item.requests | own_losses)))
+            self.events.append(BackendCrashed(item.backend_id, len(item.requests | own_losses)))
         self._has_unevaluated = True
         self._check_trials(number, now)
 
@@ -360,7 +360,7 @@
     """Count the fingerprints in an update; a crash counts one more, so that an empty one counts
     too.
     """
-    return 1 + SIGNS * len(item.requests) if isinstance(item, CrashUpdate) else 1
+    return 1 + FINGERPRINTS_PER_REQUEST * len(item.requests) if isinstance(item, CrashUpdate) else 1
 
 
 def _quarantine_time(level: int) -> Seconds:
--- a/src/limedeck/forwarding/quarantine_updates.py
+++ b/src/limedeck/forwarding/quarantine_updates.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackendEnded:
+class BackendCrashed:
     """Event for logs: a back end was found to have crashed."""
 
     backend_id: str
@@ -77,4 +77,4 @@
     request: int
 
 
-Event = BackendEnded | QuarantineBegan | QuarantineEnded
+Event = BackendCrashed | QuarantineBegan | QuarantineEnded
--- a/src/limedeck/forwarding/refusals.py
+++ b/src/limedeck/forwarding/refusals.py
@@ -24,9 +24,9 @@
 BACKOFF_MOVE_TIME: Seconds = 1.0
 """For keys of an owner that requests back-off. The leader moves them within this time if the owner
 requests back-off from more nodes than it serves."""
-LONGEST_MOVE_WAIT: Seconds = 0.4
+MAX_MOVE_WAIT: Seconds = 0.4
 """Longest time that a request waits for its key to be assigned an owner."""
-RETURN_SPREAD: Seconds = 0.3
+RETRY_SPREAD: Seconds = 0.3
 """Interval over which retries are spread, so that the next owner can work off the backlog."""
 _OWNER_REASONS = {
     UnavailableCause.LEAVING: RefusalReason.LEAVING,
@@ -53,7 +53,7 @@
     elif unavailable.cause is UnavailableCause.BACKING_OFF:
         delay = min(unavailable.remaining or 0.0, BACKOFF_MOVE_TIME)
     elif unavailable.cause is UnavailableCause.COLD:
-        delay = min(unavailable.remaining or 0.0, LONGEST_MOVE_WAIT)
+        delay = min(unavailable.remaining or 0.0, MAX_MOVE_WAIT)
     else:
         delay = NO_OWNER_RETRY_AFTER
     return claim.refuse(_OWNER_REASONS[unavailable.cause], delay + _spread(claim), unavailable)
@@ -85,4 +85,4 @@
 
 
 def _spread(claim: Claim) -> Seconds:
-    return RETURN_SPREAD * hash_fraction(claim.request_id)
+    return RETRY_SPREAD * hash_fraction(claim.request_id)
--- a/src/limedeck/forwarding/request.py
+++ b/src/limedeck/forwarding/request.py
@@ -153,7 +153,7 @@
         self, command: RequestPermit, response: PermitResponse, now: Seconds, sharing_nodes: int
     ) -> Command:
         """Decide what follows the response to a `RequestPermit`."""
-        self._permits.take(command, response, now)
+        self._permits.handle_response(command, response, now)
         return self.next_command(now, sharing_nodes)
 
     def give_up(self) -> Refuse:
@@ -202,7 +202,7 @@
             if refusal is not None:
                 return refusal
         self._stale_version = self.service.owners.version
-        self._not_before = now + (refusals.LONGEST_MOVE_WAIT if wrong_owner else RETRY_DELAY)
+        self._not_before = now + (refusals.MAX_MOVE_WAIT if wrong_owner else RETRY_DELAY)
         return self.next_command(now, sharing_nodes)
 
     def _try_owner(self, position: int, now: Seconds, sharing_nodes: int) -> Command:
@@ -227,9 +227,9 @@
         Callers make few retries, and would have used them up by then.
         """
         free_at = self.service.owners.free_at(position)
-        if free_at is None or free_at - now <= refusals.LONGEST_MOVE_WAIT:
+        if free_at is None or free_at - now <= refusals.MAX_MOVE_WAIT:
             return None
-        spread = refusals.RETURN_SPREAD * hash_fraction(self.request_id)
+        spread = refusals.RETRY_SPREAD * hash_fraction(self.request_id)
         retry_after = free_at - now + NEW_OWNER_DELAY + spread
         return self._refuse(RefusalReason.NO_OWNER, min(retry_after, MAX_OWNER_RETRY_AFTER))
 
@@ -238,16 +238,16 @@
             return refusals.no_owner(self.claim)
         if self._waiting_since is None:
             self._waiting_since = now
-        wait_end = min(self._waiting_since + refusals.LONGEST_MOVE_WAIT, self.claim.until)
+        wait_end = min(self._waiting_since + refusals.MAX_MOVE_WAIT, self.claim.until)
         if now >= wait_end:
             return self._refuse(RefusalReason.NO_OWNER, refusals.NO_OWNER_RETRY_AFTER)
         return Wait(min(max(self._not_before, now + RETRY_DELAY), wait_end))
 
     def _try_any(self, now: Seconds, sharing_nodes: int) -> Command:
         service = self.service.name
-        state = self._permits.held_for(now)
+        state = self._permits.permitted_backend(now)
         if state is None:
-            excluded = self._excluded | self._permits.closed(service, now)
+            excluded = self._excluded | self._permits.exhausted_backends(service, now)
             state = self._directory.choose(service, excluded, self.request_id, now)
         if state is not None and self._backoff_rejections < MAX_BACKOFF_REJECTIONS:
             return self._attempt_if_admitted(state, now, sharing_nodes)
@@ -277,7 +277,7 @@
         if self.guard is not None:
             self.guard.record_sent(now)
         self.attempts += 1
-        self._permits.note_used()
+        self._permits.record_used()
         self._waiting_since = None
         self._in_flight = Attempt(state, self.claim.until, state.expected_load(now))
         return self._in_flight
--- a/src/limedeck/forwarding/request_cost.py
+++ b/src/limedeck/forwarding/request_cost.py
@@ -6,7 +6,7 @@
 
 SMOOTHING = 0.05
 """Weight of one response among the earlier ones; about 20 give the mean of uneven work."""
-FEWEST_SAMPLES = 5
+MIN_SAMPLES = 5
 """Responses after which a route counts as measured; with fewer, chance prevails."""
 
 
@@ -43,7 +43,7 @@
     def is_measured(self, route: str) -> bool:
         """Whether there were enough responses to requests of this route."""
         found = self._routes.get(route)
-        return found is not None and found.count >= FEWEST_SAMPLES
+        return found is not None and found.count >= MIN_SAMPLES
 
     def record(self, route: str, ratio: float) -> None:
         """Record that a request took `ratio` times the back end's mean time, excluding queueing."""
--- a/src/limedeck/forwarding/request_permits.py
+++ b/src/limedeck/forwarding/request_permits.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from limedeck.forwarding.admission import LONGEST_RETRY_AFTER, Claim
+from limedeck.forwarding.admission import MAX_RETRY_AFTER, Claim
 from limedeck.forwarding.backend_state import BackendState
 from limedeck.forwarding.backends import BackendDirectory
 from limedeck.forwarding.commands import Command, RefusalReason, Refuse, RequestPermit, Wait
@@ -29,7 +29,7 @@
 MAX_PERMIT_DENIALS = 3
 """After so many denials a request is sent to a back end without a bound or is refused; each permit
 request costs its caller some milliseconds."""
-RETURN_SPREAD: Seconds = 0.3
+RETRY_SPREAD: Seconds = 0.3
 """Shortest interval over which refused callers are spread when they return."""
 
 
@@ -51,7 +51,7 @@
         self._held: _HeldPermit | None = None
         self._denied_by: set[str] = set()
 
-    def held_for(self, now: Seconds) -> BackendState | None:
+    def permitted_backend(self, now: Seconds) -> BackendState | None:
         """Return the back end for which the request holds a permit; None if it holds none."""
         if self._held is None or now > self._held.expires_at:
             return None
@@ -60,7 +60,7 @@
             return None
         return state
 
-    def closed(self, service: str, now: Seconds) -> set[str]:
+    def exhausted_backends(self, service: str, now: Seconds) -> set[str]:
         """Return the back ends for which this request should not request permits any more."""
         if len(self._denied_by) < MAX_PERMIT_DENIALS:
             return self._denied_by
@@ -83,7 +83,9 @@
             return self.refusal(state.permits_denied_until - now, bound)
         return RequestPermit(state, PermitRequest(bound, self._max_wait(now)), now)
 
-    def take(self, command: RequestPermit, response: PermitResponse, now: Seconds) -> None:
+    def handle_response(
+        self, command: RequestPermit, response: PermitResponse, now: Seconds
+    ) -> None:
         """Record the response to a permit request."""
         backend_id = command.state.backend.backend_id
         match response:
@@ -95,17 +97,15 @@
                 self._denied_by.add(backend_id)
                 command.state.permits_denied_until = now + min(pause, MAX_PAUSE)
 
-    def note_used(self) -> None:
+    def record_used(self) -> None:
         """Use up the permit as the request is sent; another attempt needs another permit."""
         self._held = None
 
     def refusal(self, pause: Seconds, bound: RateBound) -> Refuse:
         """Refuse the request with a time to retry, which is spread over callers."""
-        between = max(RETURN_SPREAD, 1.0 / bound.rate if bound.rate else LONGEST_RETRY_AFTER)
+        between = max(RETRY_SPREAD, 1.0 / bound.rate if bound.rate else MAX_RETRY_AFTER)
         retry_after = pause + between * hash_fraction(self._claim.request_id)
-        return self._claim.refuse(
-            RefusalReason.LIMITED, min(retry_after, LONGEST_RETRY_AFTER), bound
-        )
+        return self._claim.refuse(RefusalReason.LIMITED, min(retry_after, MAX_RETRY_AFTER), bound)
 
     def refusal_by_all(self, service: str, now: Seconds) -> Refuse | None:
         """Refuse the request if bounded back ends could take it later; None if there are none."""
--- a/src/limedeck/http_client.py
+++ b/src/limedeck/http_client.py
@@ -43,7 +43,7 @@
 without the option, a request with 20 s left failed after 20 s (test_silent_connections.py)."""
 UNACKNOWLEDGED = "unacknowledged"
 """Problem of an attempt whose connection was ended by `UNACKNOWLEDGED_TIMEOUT`."""
-OUT_OF_TIME = "out of time"
+DEADLINE_EXCEEDED = "out of time"
 """Problem of an attempt that was aborted at its deadline."""
 CONNECTION_REFUSED = "connection refused"
 """Problem of an attempt: the host is reachable, but no process listens on the port."""
@@ -223,7 +223,7 @@
         self._connect_timeout = connect_timeout
         self._socket_options = socket_options
         self._idle: dict[str, deque[_Connection]] = {}
-        self._under_way: dict[anyio.CancelScope, Seconds] = {}
+        self._active: dict[anyio.CancelScope, Seconds] = {}
         self.connections_opened = 0
 
     async def exchange(self, request: HttpRequest, until: Seconds) -> HttpResponse:
@@ -244,7 +244,7 @@
                 is_fully_sent = connection.is_fully_sent(request)
                 reusable = connection.prepare_for_reuse(response, is_fully_sent, steady_clock())
                 return response
-            raise AttemptFailed(FailurePhase.AWAITING, OUT_OF_TIME)
+            raise AttemptFailed(FailurePhase.AWAITING, DEADLINE_EXCEEDED)
         except AttemptFailed as error:
             if error.problem == UNACKNOWLEDGED:
                 await self._drop_idle_to(request.address)
@@ -262,20 +262,20 @@
         time_left = until - steady_clock()
         if time_left <= 0.0:
             # The machine may have been suspended during connecting; timers do not count that time.
-            raise AttemptFailed(FailurePhase.NOT_SENT, OUT_OF_TIME)
+            raise AttemptFailed(FailurePhase.NOT_SENT, DEADLINE_EXCEEDED)
         with anyio.move_on_after(time_left) as scope:
-            self._under_way[scope] = until
+            self._active[scope] = until
             try:
                 yield
             finally:
-                del self._under_way[scope]
+                del self._active[scope]
 
     def abort_expired(self, now: Seconds) -> None:
         """Abort exchanges whose deadline has passed although their timers have not expired.
 
         Timers do not count the time for which the machine was suspended.
         """
-        for scope, until in self._under_way.items():
+        for scope, until in self._active.items():
             if until <= now:
                 scope.cancel()
 
@@ -290,7 +290,7 @@
         connection = await self._open(address, until)
         await connection.aclose()
 
-    async def drop_idle(self, addresses: set[str]) -> None:
+    async def close_idle(self, addresses: set[str]) -> None:
         """Close idle connections that have expired, and all to addresses not in `addresses`."""
         now = steady_clock()
         for address, idle in list(self._idle.items()):
@@ -318,7 +318,7 @@
 
     async def aclose(self) -> None:
         """Close all idle connections."""
-        await self.drop_idle(set())
+        await self.close_idle(set())
 
     async def _acquire(self, request: HttpRequest, until: Seconds) -> _Connection:
         idle = self._idle.get(request.address)
--- a/src/limedeck/node/connections.py
+++ b/src/limedeck/node/connections.py
@@ -13,11 +13,11 @@
 CONNECT_TIMEOUT: Seconds = 0.7
 """A new leader on a slow machine takes this long to accept all nodes of a large site at once."""
 SEND_TIMEOUT: Seconds = 1.0
-"""A node that accepts no data for this long is considered lost; below `SILENCE_LIMIT`."""
-SILENCE_LIMIT: Seconds = 1.5
+"""A node that accepts no data for this long is considered lost; below `RECEIVE_TIMEOUT`."""
+RECEIVE_TIMEOUT: Seconds = 1.5
 """A connection on which nothing was received for this long is closed."""
 
-ENDED = (
+CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     PeerProtocolError,
--- a/src/limedeck/node/control.py
+++ b/src/limedeck/node/control.py
@@ -110,9 +110,9 @@
         self.on_statements: Callable[[], None] = lambda: None
         state.directory.limits.on_change = self._handle_statement
         state.directory.leaving.on_change = self._handle_statement
-        self.on_store_back: Callable[[], None] = lambda: None
+        self.on_store_recovered: Callable[[], None] = lambda: None
         self._election_calls = ElectionCalls(self.election, store, telemetry)
-        self._election_calls.on_store_back = lambda: self.on_store_back()
+        self._election_calls.on_store_recovered = lambda: self.on_store_recovered()
         self._election_calls.on_leader = lambda: self.on_leader()
         self._identity = identity
         self._state = state
@@ -201,7 +201,7 @@
         fleet = candidate_priority.Fleet(status.node_count, status.strongest, status.strong_count)
         self.election.handle_heartbeat(status.term, status.store_silence, now, fleet)
         if status.term >= self.election.term:
-            self._state.note_leader(status.store_silence, status.node_count, now)
+            self._state.record_leader(status.store_silence, status.node_count, now)
             if status.HasField("backend_totals"):
                 self.loads.handle_totals(status.backend_totals, now)
             if status.peers:
@@ -218,9 +218,9 @@
         self.election.resign()
         self.on_leader()
 
-    def take_loads(self) -> list[ServiceLoad]:
+    def collect_loads(self) -> list[ServiceLoad]:
         """Return this node's request counts by key since the last call, for the leader."""
-        return self._state.take_loads()
+        return self._state.collect_loads()
 
     def handle_loads(self, loads: Iterable[ServiceLoad]) -> None:
         """Record the request counts by key that a node reported."""
@@ -237,7 +237,7 @@
 
     def _handle_statement(self) -> None:
         """Send statements immediately; nodes keep sending requests until they receive one."""
-        self.permits.notifier.give()
+        self.permits.notifier.notify()
         self.on_statements()
 
     # ------------------------------------------------------------------ ticking
@@ -251,13 +251,13 @@
             self._end_leadership()
             return
         node_count = self.fleet().node_count
-        self._state.note_leader(self.election.store_silence(now), node_count, now)
+        self._state.record_leader(self.election.store_silence(now), node_count, now)
         self._open_services()
         self._refresh_listing(now)
         self._refresh_totals(now)
         if now >= self._next_own_loads:
             self._next_own_loads = now + OWN_LOADS_INTERVAL
-            self.handle_loads(self._state.take_loads())
+            self.handle_loads(self._state.collect_loads())
         may_renew = self.election.may_renew(now)
         may_yield = self.election.may_yield(now) and node_count > 1
         may_move = self.election.store_silence(now) < MAX_STORE_SILENCE
@@ -272,7 +272,7 @@
             if owned.core.fenced_off:
                 self._log.warning("fenced_off", service=name, term=owned.term)
                 self.election.step_down()
-            elif owned.core.doubts_itself:
+            elif owned.core.should_yield:
                 self._yield_leadership(name, owned, now)
         self._telemetry.leads.set(1)
 
@@ -316,11 +316,11 @@
                 item.backend.backend_id: totals.get(item.backend.backend_id) for item in states
             }
             excluded = {key for key, total in known.items() if total and total.excluded}
-            owned.core.set_failing(excluded | (self.loads.avoided_owners & known.keys()))
+            owned.core.set_failing_backends(excluded | (self.loads.avoided_owners & known.keys()))
             for backend_id, total in known.items():
                 if total is None:
                     continue
-                owned.core.record_last_response(backend_id, total.answered_at)
+                owned.core.record_last_response(backend_id, total.responded_at)
                 if total.service_time > 0.0:
                     owned.core.set_service_time(backend_id, total.service_time)
 
--- a/src/limedeck/node/crash_gossip.py
+++ b/src/limedeck/node/crash_gossip.py
@@ -78,6 +78,6 @@
             self._log.info("crash_news_not_told", peer=address, problem=problem)
 
 
-def some_peers(addresses: list[str], random_source: random.Random) -> list[str]:
+def sample_peers(addresses: list[str], random_source: random.Random) -> list[str]:
     """Draw the peers of one node at random."""
     return random_source.sample(addresses, min(MAX_PEERS, len(addresses)))
--- a/src/limedeck/node/crash_watch.py
+++ b/src/limedeck/node/crash_watch.py
@@ -104,7 +104,7 @@
     def _record_event(self, event: quarantine_updates.Event, now: Seconds) -> None:
         """Count an event, and log it unless the limit of log lines is reached."""
         match event:
-            case quarantine_updates.BackendEnded():
+            case quarantine_updates.BackendCrashed():
                 self._telemetry.backend_crashes.inc()
             case quarantine_updates.QuarantineBegan():
                 self._telemetry.quarantines.labels("began").inc()
@@ -115,7 +115,7 @@
 
     def _write_line(self, event: quarantine_updates.Event, now: Seconds) -> None:
         match event:
-            case quarantine_updates.BackendEnded():
+            case quarantine_updates.BackendCrashed():
                 self._log.info("back_end_crashed", backend=event.backend_id, lost=event.lost)
             case quarantine_updates.QuarantineBegan():
                 self._log.warning(
--- a/src/limedeck/node/election_calls.py
+++ b/src/limedeck/node/election_calls.py
@@ -44,7 +44,7 @@
     ----------
     store_offset
         The store's clock minus this node's clock, in seconds.
-    on_store_back
+    on_store_recovered
         Called when the store responds after calls that failed.
     on_leader
         Called when the store names a leader of a later term.
@@ -52,7 +52,7 @@
 
     def __init__(self, election: ElectionCore, store: RowStore, telemetry: Telemetry) -> None:
         self.store_offset: Seconds = 0.0
-        self.on_store_back: Callable[[], None] = lambda: None
+        self.on_store_recovered: Callable[[], None] = lambda: None
         self.on_leader: Callable[[], None] = lambda: None
         self._election = election
         self._store = store
@@ -77,7 +77,7 @@
             return
         if self._store_failed:
             self._store_failed = False
-            self.on_store_back()
+            self.on_store_recovered()
 
     async def _read_leader(self, command: ReadLeader) -> None:
         found = await self._store.read(LEADER_ROW.table, LEADER_ROW.part)
--- a/src/limedeck/node/followers.py
+++ b/src/limedeck/node/followers.py
@@ -13,9 +13,9 @@
 from limedeck.identity import Seconds
 from limedeck.node import backend_loads
 from limedeck.node.connection_updates import ConnectionUpdates
-from limedeck.node.connections import ENDED, SILENCE_LIMIT, FrameSender
+from limedeck.node.connections import CONNECTION_ERRORS, RECEIVE_TIMEOUT, FrameSender
 from limedeck.node.control import ControlHost
-from limedeck.node.crash_gossip import some_peers
+from limedeck.node.crash_gossip import sample_peers
 from limedeck.node.framing import FrameReader
 from limedeck.node.logs import get_logger
 from limedeck.node.notifier import Notifier
@@ -87,7 +87,7 @@
             await listener.serve(self._serve_one)
 
     def _notify_all(self) -> None:
-        self._notifier.give()
+        self._notifier.notify()
 
     async def _serve_one(self, stream: SocketStream) -> None:
         async with stream, anyio.create_task_group() as tasks:
@@ -109,7 +109,7 @@
         node = ""
         try:
             while True:
-                with anyio.fail_after(SILENCE_LIMIT):
+                with anyio.fail_after(RECEIVE_TIMEOUT):
                     message, _ = await reader.read()
                 if message.HasField("crash_news"):
                     updates.crashes.apply(message.crash_news, steady_clock())
@@ -129,7 +129,7 @@
                 )
                 self._table_exchange.apply(message.report, peer, steady_clock())
                 self._record_follower(message.report, stream, peer)
-        except ENDED as error:
+        except CONNECTION_ERRORS as error:
             self._log.info("follower_left", node=node, problem=type(error).__name__)
         finally:
             if self._nodes.get(node) is stream:
@@ -185,9 +185,9 @@
                 updates.fill(status, steady_clock())
                 if steady_clock() >= next_peers:
                     next_peers = steady_clock() + PEERS_INTERVAL
-                    status.peers.extend(some_peers(list(self._addresses.values()), self._random))
+                    status.peers.extend(sample_peers(list(self._addresses.values()), self._random))
                 await sender.send(ControlMessage(status=status))
                 await anyio.sleep(self._status_pause())
-                await self._notifier.wait_beyond(known, self._timing.heartbeat_interval)
-        except ENDED:
+                await self._notifier.wait_past(known, self._timing.heartbeat_interval)
+        except CONNECTION_ERRORS:
             scope.cancel()
--- a/src/limedeck/node/former_leader_inquiry.py
+++ b/src/limedeck/node/former_leader_inquiry.py
@@ -6,7 +6,7 @@
 
 from limedeck.api.control_pb2 import ControlMessage, FormerLeader, LeaderRecord, Report
 from limedeck.identity import Seconds
-from limedeck.node.connections import ENDED
+from limedeck.node.connections import CONNECTION_ERRORS
 from limedeck.node.control import ControlHost
 from limedeck.node.framing import FrameReader, encode_frame
 from limedeck.node.logs import get_logger
@@ -31,7 +31,7 @@
             for former in self._control.election.former_leaders():
                 try:
                     await self._inquire(former)
-                except ENDED as error:
+                except CONNECTION_ERRORS as error:
                     problem = type(error).__name__
                     self._log.info("former_leader_silent", node=former.node_id, problem=problem)
             await anyio.sleep(INQUIRY_INTERVAL)
--- a/src/limedeck/node/leader_link.py
+++ b/src/limedeck/node/leader_link.py
@@ -8,7 +8,12 @@
 from limedeck.api.control_pb2 import ControlMessage, LeaderRecord, Report
 from limedeck.clock import steady_clock
 from limedeck.identity import NEVER, Seconds
-from limedeck.node.connections import CONNECT_TIMEOUT, ENDED, SILENCE_LIMIT, FrameSender
+from limedeck.node.connections import (
+    CONNECT_TIMEOUT,
+    CONNECTION_ERRORS,
+    RECEIVE_TIMEOUT,
+    FrameSender,
+)
 from limedeck.node.control import ControlHost
 from limedeck.node.framing import FrameReader
 from limedeck.node.logs import get_logger
@@ -51,7 +56,7 @@
         self._log = get_logger("peers")
 
     @property
-    def hears_leader(self) -> bool:
+    def follows_leader(self) -> bool:
         """Whether a status of a leader has arrived recently on the open connection."""
         return steady_clock() - self._status_received_at < MAX_LEADER_SILENCE
 
@@ -64,7 +69,7 @@
                 continue
             try:
                 await self._follow(leader)
-            except ENDED as error:
+            except CONNECTION_ERRORS as error:
                 self._status_received_at = NEVER
                 problem = type(error).__name__
                 self._log.info("leader_link_ended", leader=leader.node_id, problem=problem)
@@ -88,7 +93,7 @@
                 tasks.start_soon(self._send_reports, FrameSender(stream))
                 try:
                     await self._read_statuses(stream, leader)
-                except ENDED as error:
+                except CONNECTION_ERRORS as error:
                     failure = error
                 tasks.cancel_scope.cancel()
             self._control.permits.handle_connected(False)
@@ -113,8 +118,8 @@
                 if requests is not None:
                     await sender.send(ControlMessage(permit_asks=requests))
                     await anyio.sleep(PERMIT_REQUEST_INTERVAL)
-                await permits.notifier.wait_beyond(known, next_report - steady_clock())
-        except ENDED:
+                await permits.notifier.wait_past(known, next_report - steady_clock())
+        except CONNECTION_ERRORS:
             return
 
     def _report(self) -> Report:
@@ -122,7 +127,7 @@
         loads = []
         if now >= self._next_key_report:
             self._next_key_report = now + KEY_REPORT_INTERVAL
-            loads = self._control.take_loads()
+            loads = self._control.collect_loads()
         report = Report(
             node_id=self._identity.node_id,
             incarnation=self._identity.incarnation,
@@ -139,7 +144,7 @@
     async def _read_statuses(self, stream: SocketStream, leader: LeaderRecord) -> None:
         reader = FrameReader(stream, ControlMessage)
         while self._control.election.record == leader:
-            with anyio.fail_after(SILENCE_LIMIT):
+            with anyio.fail_after(RECEIVE_TIMEOUT):
                 message, _ = await reader.read()
             if message.HasField("permit_answers"):
                 self._control.permits.handle_responses(message.permit_answers)
--- a/src/limedeck/node/notifier.py
+++ b/src/limedeck/node/notifier.py
@@ -20,13 +20,13 @@
         self.count = 0
         self._event = anyio.Event()
 
-    def give(self) -> None:
+    def notify(self) -> None:
         """Record a change, and wake all waiting tasks."""
         self.count += 1
         self._event.set()
         self._event = anyio.Event()
 
-    async def wait_beyond(self, known: int, timeout: Seconds) -> None:
+    async def wait_past(self, known: int, timeout: Seconds) -> None:
         """Wait until there are more changes than the known ones, for at most the given time."""
         if self.count > known:
             return
--- a/src/limedeck/node/order_sender.py
+++ b/src/limedeck/node/order_sender.py
@@ -63,7 +63,7 @@
             self._log.warning(
                 "grant_refused", service=name, status=response.status, **_log_fields(order)
             )
-        core.handle_grant_answer(order, done, fenced_off, sent_at, steady_clock())
+        core.handle_grant_response(order, done, fenced_off, sent_at, steady_clock())
 
     async def send_release(self, name: str, core: ServiceOwnership, order: Release) -> None:
         """Send a release, and pass the result to the core."""
@@ -86,7 +86,7 @@
             handover=bool(handover),
             **_log_fields(order),
         )
-        core.handle_release_answer(order, done, handover, steady_clock())
+        core.handle_release_response(order, done, handover, steady_clock())
 
     def _record_leaving(self, backend_id: str, response: HttpResponse, sent_at: Seconds) -> None:
         """Record a leaving announcement; an idle owner makes it only in responses to orders."""
--- a/src/limedeck/node/permit_exchange.py
+++ b/src/limedeck/node/permit_exchange.py
@@ -75,7 +75,7 @@
         waiting = _WaitingRequest(request, anyio.Event())
         self._waiting[number] = waiting
         self._unsent.append(number)
-        self.notifier.give()
+        self.notifier.notify()
         try:
             with anyio.move_on_after(RESPONSE_TIMEOUT):
                 await waiting.response_received.wait()
--- a/src/limedeck/node/quarantine_record.py
+++ b/src/limedeck/node/quarantine_record.py
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    hears_leader
+    follows_leader
         Whether this node receives quarantines from a leader and need not read them from the store:
         when a site of hundreds of nodes starts, each node already makes some ten calls to it.
     """
@@ -48,9 +48,9 @@
         ledger: quarantine.QuarantineLedger,
         store: RowStore,
         control: ControlHost,
-        hears_leader: Callable[[], bool],
+        follows_leader: Callable[[], bool],
     ) -> None:
-        self._hears_leader = hears_leader
+        self._hears_leader = follows_leader
         self._ledger = ledger
         self._store = store
         self._control = control
--- a/src/limedeck/node/server.py
+++ b/src/limedeck/node/server.py
@@ -42,7 +42,7 @@
 from limedeck.node.suspension import SuspensionWatch
 from limedeck.node.table_exchange import FeedKeeper, TableExchange
 from limedeck.node.telemetry import Telemetry
-from limedeck.node.watchers import TableFollower, TableWatcher
+from limedeck.node.watchers import TableSubscription, TableWatcher
 from limedeck.ownership.timing import timing_for_longest_lease
 from limedeck.platform.grants import PlatformOrders
 from limedeck.platform.headers import PlatformProtocol
@@ -160,7 +160,7 @@
         tasks.start_soon(link.run)
         self._start_quarantine(tasks, control, store, link)
         keeper = FeedKeeper(policy, watchers, lambda: control.leads)
-        control.on_store_back = keeper.handle_store_back
+        control.on_store_recovered = keeper.handle_store_recovered
         tasks.start_soon(keeper.run)
         tasks.start_soon(FormerLeaderInquiry(self._identity, control).run)
         tasks.start_soon(control.run)
@@ -170,13 +170,13 @@
     def _start_quarantine(
         self, tasks: TaskGroup, control: ControlHost, store: InstrumentedStore, link: LeaderLink
     ) -> None:
-        def hears_leader() -> bool:
-            return not control.leads and link.hears_leader
+        def follows_leader() -> bool:
+            return not control.leads and link.follows_leader
 
         def has_leader() -> bool:
-            return control.leads or link.hears_leader
+            return control.leads or link.follows_leader
 
-        keeper = QuarantineRecordKeeper(self._state.quarantine, store, control, hears_leader)
+        keeper = QuarantineRecordKeeper(self._state.quarantine, store, control, follows_leader)
         tasks.start_soon(keeper.run)
 
         tasks.start_soon(CrashGossip(self._state, has_leader, self._settings.node.ip).run)
@@ -254,7 +254,7 @@
         statement_log = StatementLog(self._state.directory, self._telemetry)
         while True:
             await anyio.sleep(MAINTENANCE_INTERVAL)
-            await client.drop_idle(self._state.directory.addresses())
+            await client.close_idle(self._state.directory.addresses())
             self._update_gauges()
             statement_log.log_events(steady_clock())
             self._writer.flush()
@@ -268,7 +268,7 @@
 
     # ------------------------------------------------------------------ tables
 
-    def _configuration_follower(self) -> TableFollower:
+    def _configuration_follower(self) -> TableSubscription:
         def put(row: StoredRow, source: Source) -> None:
             zone = evacuated_zone(row.key)
             if row.key == CONFIGURATION_KEY:
@@ -283,12 +283,12 @@
                 self._state.end_evacuation(zone)
                 self._log.warning("evacuation_ended", zone=zone)
 
-        return TableFollower(
+        return TableSubscription(
             CONFIGURATION_TABLE,
             put,
             remove,
             complete=lambda: None,
-            joining=CONFIGURATION_BATCH_TIME,
+            batch_time=CONFIGURATION_BATCH_TIME,
             feed_wait=self._settings.store.feed_wait,
         )
 
@@ -298,7 +298,7 @@
         self._telemetry.configuration.set(configuration.version)
         self._log.info("configuration", version=configuration.version, source=source.value)
 
-    def _backends_follower(self) -> TableFollower:
+    def _backends_follower(self) -> TableSubscription:
         state = self._state
 
         def put(row: StoredRow, source: Source) -> None:
@@ -324,12 +324,12 @@
         def complete() -> None:
             state.backends_listed = True
 
-        return TableFollower(
+        return TableSubscription(
             BACKENDS_TABLE,
             put,
             remove,
             complete,
-            joining=BACKENDS_BATCH_TIME,
+            batch_time=BACKENDS_BATCH_TIME,
             feed_wait=self._settings.store.feed_wait,
         )
 
--- a/src/limedeck/node/state.py
+++ b/src/limedeck/node/state.py
@@ -113,7 +113,7 @@
             self.services[name] = view
         return view
 
-    def take_loads(self) -> list[ServiceLoad]:
+    def collect_loads(self) -> list[ServiceLoad]:
         """Return the requests counted by key since the last call, and reset the counts."""
         loads = []
         for view in self.services.values():
@@ -133,7 +133,7 @@
             view.owners = owners
             self.notify()
 
-    def note_leader(self, store_silence: Seconds, node_count: int, now: Seconds) -> None:
+    def record_leader(self, store_silence: Seconds, node_count: int, now: Seconds) -> None:
         """Record a message from the leader, or that this node leads.
 
         A leader that the store has not confirmed for long may have been replaced. Its node count is
--- a/src/limedeck/node/table_exchange.py
+++ b/src/limedeck/node/table_exchange.py
@@ -182,7 +182,7 @@
         self._watchers = tables
         self._leads = leads
 
-    def handle_store_back(self) -> None:
+    def handle_store_recovered(self) -> None:
         """Restart feeds once the store responds again: those that waited meanwhile may be dead."""
         for watcher in self._watchers:
             watcher.restart_feed()
--- a/src/limedeck/node/watchers.py
+++ b/src/limedeck/node/watchers.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TableFollower:
+class TableSubscription:
     """How one table is watched.
 
     Parameters
@@ -40,7 +40,7 @@
         Called with the key of each dropped row.
     complete
         Called when the whole table is known.
-    joining
+    batch_time
         Pause between two calls, so that changes close together arrive in one response.
     feed_wait
         Longest time that one call waits for a change.
@@ -50,14 +50,14 @@
     put: Callable[[rows.StoredRow, replica.Source], None]
     remove: Callable[[str], None]
     complete: Callable[[], None]
-    joining: identity.Seconds
+    batch_time: identity.Seconds
     feed_wait: identity.Seconds
 
 
 class TableWatcher:
     """Keeps a replica of one table up to date for as long as the process runs."""
 
-    def __init__(self, store: rows.RowStore, follower: TableFollower) -> None:
+    def __init__(self, store: rows.RowStore, follower: TableSubscription) -> None:
         self.replica = replica.TableReplica(follower.table, self._put, follower.remove)
         self._store = store
         self._follower = follower
@@ -110,8 +110,8 @@
 
     def _pause_between_calls(self) -> identity.Seconds:
         if self._feeds is feeds.FeedMode.TEMPORARY:
-            return max(self._follower.joining, self._temporary_feed_pause)
-        return self._follower.joining
+            return max(self._follower.batch_time, self._temporary_feed_pause)
+        return self._follower.batch_time
 
     def set_feeds(
         self, wanted: feeds.FeedMode, temporary_feed_pause: identity.Seconds = 0.0
--- a/src/limedeck/ownership/election.py
+++ b/src/limedeck/ownership/election.py
@@ -380,7 +380,7 @@
             return Suspicion.NO_RECORD
         if self._denied:
             return Suspicion.DENIED
-        if now - self._leader_heard_at > self._timing.leader_silence + self._urgent_delay():
+        if now - self._leader_heard_at > self._timing.leader_timeout + self._urgent_delay():
             return Suspicion.SILENT
         if self._leader_store_unreachable:
             return Suspicion.STORE_UNREACHABLE
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -10,10 +10,10 @@
 
 RESPONSE_WEIGHT = 0.05
 """Weight of one response in a back end's mean service time; averages uneven work over some 20."""
-FRESH: Seconds = 1.0
+FRESH_TIME: Seconds = 1.0
 """Time since a node last reported a response for which a service time is taken unchanged."""
 DECAY_TIME: Seconds = 3.0
-"""Time constant by which, after `FRESH`, a service time decays to the mean of its service. Without
+"""Time constant by which, after `FRESH_TIME`, a service time decays to the mean of its service. Without
 the decay, a back end that was slow once got no requests and so counted as slow forever: an idle one
 of six got none of 60 requests per second for 8 s. With it, a slow back end gets a request every few
 seconds."""
@@ -57,7 +57,7 @@
     ----------
     excluded
         Whether the back end gets no requests because it fails too often.
-    answered_at
+    responded_at
         When a node last reported a response, on the leader's clock; known only to the leader.
     """
 
@@ -65,7 +65,7 @@
     outstanding: int
     service_time: Seconds
     excluded: bool = False
-    answered_at: Seconds = NEVER
+    responded_at: Seconds = NEVER
 
 
 def with_decayed_service_times(
@@ -82,7 +82,7 @@
     weights: dict[str, float] = dict.fromkeys(services.values(), 0.0)
     sums = dict(weights)
     for total in measured:
-        weight = max(_freshness(total.answered_at, now), MIN_WEIGHT)
+        weight = max(_freshness(total.responded_at, now), MIN_WEIGHT)
         weights[services[total.backend]] += weight
         sums[services[total.backend]] += weight * total.service_time
     decayed = []
@@ -90,15 +90,15 @@
         if total.service_time > 0.0:
             service = services[total.backend]
             typical = sums[service] / weights[service]
-            time = typical + (total.service_time - typical) * _freshness(total.answered_at, now)
+            time = typical + (total.service_time - typical) * _freshness(total.responded_at, now)
             total = replace(total, service_time=time)
         decayed.append(total)
     return decayed
 
 
-def _freshness(answered_at: Seconds, now: Seconds) -> float:
+def _freshness(responded_at: Seconds, now: Seconds) -> float:
     """Return the weight, from 1 to 0, of a service time whose last response was reported then."""
-    return math.exp(-max(now - answered_at - FRESH, 0.0) / DECAY_TIME)
+    return math.exp(-max(now - responded_at - FRESH_TIME, 0.0) / DECAY_TIME)
 
 
 class FleetLoad:
@@ -153,7 +153,7 @@
         answered = {item: self._answered_at.get(item, NEVER) for item in wanted}
         self._answered_at = answered
         return [
-            BackendTotal(item, sums[item], kept.get(item, 0.0), answered_at=answered[item])
+            BackendTotal(item, sums[item], kept.get(item, 0.0), responded_at=answered[item])
             for item in wanted
         ]
 
--- a/src/limedeck/ownership/leader_permits.py
+++ b/src/limedeck/ownership/leader_permits.py
@@ -34,7 +34,7 @@
         if self._issuer is None or self._term != self._election.term:
             self._issuer = PermitIssuer(now)
             self._term = self._election.term
-        self._issuer.forget_old(now)
+        self._issuer.drop_expired(now)
 
     def issue(self, request: PermitRequest, known: float | None, now: Seconds) -> PermitResponse:
         """Issue a permit, if the rate bound allows it.
--- a/src/limedeck/ownership/service.py
+++ b/src/limedeck/ownership/service.py
@@ -65,7 +65,7 @@
         self.changes: list[OwnerChange] = []
         self.version = 0
         self.fenced_off = False
-        self.doubts_itself = False
+        self.should_yield = False
         self._key_positions = key_positions
         self._timing = timing
         self._fences = FenceCounter(term)
@@ -124,7 +124,7 @@
         if self._backends and self._first_backend_at is None:
             self._first_backend_at = now
 
-    def handle_grant_answer(
+    def handle_grant_response(
         self, order: Grant, done: bool, fenced_off: bool, sent_at: Seconds, now: Seconds
     ) -> None:
         """Handle a back end's response to a grant."""
@@ -142,7 +142,7 @@
         else:
             found.next_order = now + self._timing.order_timeout
 
-    def handle_release_answer(
+    def handle_release_response(
         self, order: Release, done: bool, handover: str, now: Seconds
     ) -> None:
         """Handle a back end's response to a release."""
@@ -214,7 +214,7 @@
         """Record when a node last reported a response of the back end to a request."""
         self._liveness.record_last_response(backend_id, responded_at)
 
-    def set_failing(self, backend_ids: Iterable[str]) -> None:
+    def set_failing_backends(self, backend_ids: Iterable[str]) -> None:
         """Set the back ends that fail more often than others; they lose their keys if possible."""
         self._failing = frozenset(backend_ids)
 
@@ -230,7 +230,7 @@
         may_renew
             Whether grants may be renewed.
         may_yield
-            Whether another node could lead. If this call sets `doubts_itself`, another node should:
+            Whether another node could lead. If this call sets `should_yield`, another node should:
             many owners respond to other nodes and not to this one, which then takes no keys from
             owners for that.
         may_move
@@ -241,7 +241,7 @@
             self._assign_initially(now)
         self._range_counts = self._map.counts()
         owners = self._range_counts.keys() - {NO_OWNER}
-        self.doubts_itself = may_yield and self._liveness.is_leader_at_fault(owners, now)
+        self.should_yield = may_yield and self._liveness.is_leader_at_fault(owners, now)
         self._may_move = may_move
         for found in self.ranges:
             self._tick_range(found, may_renew, now)
@@ -281,7 +281,7 @@
         if owner is None or owner.draining:
             may_leave = self._may_move or self._has_drained(found.owner, now)
             return OwnerChangeCause.LEAVING if may_leave and self._candidates(now) else None
-        if self._liveness.is_presumed_failed(found.owner, now) and not self.doubts_itself:
+        if self._liveness.is_presumed_failed(found.owner, now) and not self.should_yield:
             self._liveness.avoid(found.owner, now)
             return OwnerChangeCause.SILENT
         is_failing = found.owner in self._failing and found.owner not in self._candidates(now)
--- a/src/limedeck/ownership/timing.py
+++ b/src/limedeck/ownership/timing.py
@@ -47,7 +47,7 @@
         Time for which a back end that lost its keys by `owner_timeout` gets none.
     heartbeat_interval
         Interval between heartbeats of the leader to all nodes.
-    leader_silence
+    leader_timeout
         Time without a heartbeat after which a leader is suspected to have failed.
     confirm_interval
         Interval between two confirmations of the leader in the store.
@@ -87,7 +87,7 @@
     max_report_delay: Seconds = 0.3
     avoidance_time: Seconds = 3.0
     heartbeat_interval: Seconds = 0.3
-    leader_silence: Seconds = 0.9
+    leader_timeout: Seconds = 0.9
     confirm_interval: Seconds = 0.7
     stale_confirmation: Seconds = 1.4
     max_unconfirmed_time: Seconds = 20.0
--- a/src/limedeck/store/replica.py
+++ b/src/limedeck/store/replica.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable, Iterable
 
 
-MOST_DROPPED = 2_000
+MAX_DROPPED_ROWS = 2_000
 """Dropped rows that a replica keeps; a replica that lacks older ones is sent a snapshot."""
 
 
@@ -193,7 +193,7 @@
     def _record_dropped(self, entry: Entry) -> None:
         self._dropped.pop(entry.key, None)
         self._dropped[entry.key] = entry.version
-        if len(self._dropped) <= MOST_DROPPED:
+        if len(self._dropped) <= MAX_DROPPED_ROWS:
             return
         oldest = next(iter(self._dropped))
         self._history_start = max(self._history_start, self._dropped.pop(oldest))
--- a/src/limedeck_lab/experiment_keys.py
+++ b/src/limedeck_lab/experiment_keys.py
@@ -222,14 +222,14 @@
             yield self._environment.timeout(ORDER_TIME)
             now = self._environment.now
             self._backends[command.order.backend_id].take(command.order, now)
-            self._core.handle_grant_answer(command.order, True, False, sent_at, now)
+            self._core.handle_grant_response(command.order, True, False, sent_at, now)
         elif isinstance(command, SendRelease):
             yield self._environment.timeout(ORDER_TIME)
             backend = self._backends[command.order.backend_id]
             backend.give_up(command.order)
             while backend.works_on(command.order):
                 yield self._environment.timeout(LEADER_INTERVAL)
-            self._core.handle_release_answer(command.order, True, "token", self._environment.now)
+            self._core.handle_release_response(command.order, True, "token", self._environment.now)
         else:
             yield self._environment.timeout(WRITE_TIME)
             self._row_version += 1
--- a/src/limedeck_lab/ownership/node.py
+++ b/src/limedeck_lab/ownership/node.py
@@ -120,7 +120,7 @@
         core.published(now)
         if core.fenced_off:
             self.election.step_down()
-        elif core.doubts_itself:
+        elif core.should_yield:
             self.election.yield_leadership(now)
 
     def _receive_response_reports(self, core: ServiceOwnership, now: Seconds) -> None:
@@ -253,7 +253,7 @@
         if accepted is None:
             core.handle_order_lost(order, environment.now)
         else:
-            core.handle_grant_answer(order, accepted, not accepted, sent_at, environment.now)
+            core.handle_grant_response(order, accepted, not accepted, sent_at, environment.now)
 
     def _release(self, core: ServiceOwnership, order: Release) -> Process:
         accepted = yield from self._deliver(order)
@@ -262,7 +262,7 @@
         if accepted is None:
             core.handle_order_lost(order, self.world.environment.now)
         else:
-            core.handle_release_answer(order, True, "", self.world.environment.now)
+            core.handle_release_response(order, True, "", self.world.environment.now)
 
     def _deliver(self, order: Grant | Release) -> Generator[simpy.Event, object, bool | None]:
         """Send an order; return None if there is no response in time."""
--- a/tests/unit/permit_world.py
+++ b/tests/unit/permit_world.py
@@ -123,12 +123,12 @@
     def _request(self, node: SimulatedNode, request_id: bytes) -> Steps:
         began = self.env.now
         core = RequestCore(request_id, ROUTE, node.view, node.directory, None, began + 3.0, began)
-        refused = yield from self._play(node, core)
+        refused = yield from self._execute_commands(node, core)
         if refused is not None:
             self.refused += 1
             self.slowest_refusal = max(self.slowest_refusal, self.env.now - began)
 
-    def _play(
+    def _execute_commands(
         self, node: SimulatedNode, core: RequestCore
     ) -> Generator[simpy.Event, object, Refuse | None]:
         """Execute the commands of a request's core until the request is served or refused."""
--- a/tests/unit/test_availability.py
+++ b/tests/unit/test_availability.py
@@ -21,7 +21,7 @@
 from limedeck.forwarding.limits import LimitStatement
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
 from limedeck.forwarding.permits import Permit
-from limedeck.forwarding.refusals import LONGEST_MOVE_WAIT
+from limedeck.forwarding.refusals import MAX_MOVE_WAIT
 from limedeck.forwarding.request import MAX_BACKOFF_REJECTIONS, RequestCore, ServiceView
 from limedeck.model import Backend, Route, Target
 from limedeck.routing.outcomes import FailurePhase, Outcome
@@ -149,7 +149,7 @@
     directory.record_store_confirmation(0.0, 10.0)
     command = first_command(directory, 10.1, owner="")
     assert isinstance(command, Wait)
-    assert command.until <= 10.1 + LONGEST_MOVE_WAIT
+    assert command.until <= 10.1 + MAX_MOVE_WAIT
     refusal = assert_refused(
         first_command(directory, 10.0 + MAX_CONFIRMATION_AGE, owner=""), RefusalReason.NO_OWNER
     )
--- a/tests/unit/test_backend_loads.py
+++ b/tests/unit/test_backend_loads.py
@@ -100,7 +100,7 @@
     assert state.take_sample() is not None
     state.record_fleet_load(9, 0.0, 5.0)
     assert state.expected_load(5.1) == 9.0
-    assert state.expected_load(5.1 + backend_state.FLEET_LOAD_LIFE) == 2.0
+    assert state.expected_load(5.1 + backend_state.FLEET_LOAD_LIFETIME) == 2.0
 
 
 def test_a_back_ends_own_load_report_takes_precedence_over_the_leaders_total() -> None:
@@ -115,7 +115,7 @@
     state.record_load(LoadReport(1, 0, SLOTS), 5.0)
     state.record_fleet_load(9, 0.0, 5.5)
     assert state.expected_load(5.5) == 9.0
-    assert state.expected_load(5.5 + backend_state.FLEET_LOAD_LIFE) < 1.0
+    assert state.expected_load(5.5 + backend_state.FLEET_LOAD_LIFETIME) < 1.0
 
 
 def test_totals_are_decoded_as_they_were_encoded() -> None:
@@ -233,7 +233,7 @@
     state_in(directory, "a").record_fleet_load(0, 0.1, 5.0, excluded=True)
     picks = {directory.choose("s", (), b"%d" % number, 5.1) for number in range(40)}
     assert picks == {state_in(directory, "b")}
-    assert not state_in(directory, "a").is_ejected(5.0 + backend_state.FLEET_LOAD_LIFE)
+    assert not state_in(directory, "a").is_ejected(5.0 + backend_state.FLEET_LOAD_LIFETIME)
     state_in(directory, "a").record_fleet_load(0, 0.1, 5.2)
     assert not state_in(directory, "a").is_ejected(5.2)
 
@@ -320,7 +320,7 @@
 
 
 def test_nothing_is_sent_to_a_back_end_whose_queue_is_full() -> None:
-    directory = busy_directory(int(backend_state.FULL_QUEUE) * SLOTS)
+    directory = busy_directory(int(backend_state.ASSUMED_FULL_LOAD_PER_SLOT) * SLOTS)
     core = core_for(directory, "r", 5.0, 10.0)
     core.claim.is_client_retry = True
     command = core.next_command(10.0, 3)
--- a/tests/unit/test_crash_updates.py
+++ b/tests/unit/test_crash_updates.py
@@ -91,7 +91,9 @@
     sizes = []
     while (message := peer.next_update(2.0)) is not None:
         sizes.append(message.ByteSize())
-    crashes_per_message = quarantine.MOST_TOLD // (1 + quarantine.SIGNS * crashes.MOST_SUSPECTS)
+    crashes_per_message = quarantine.MAX_UPDATE_FINGERPRINTS // (
+        1 + quarantine.FINGERPRINTS_PER_REQUEST * crashes.MAX_LOST_PER_CRASH
+    )
     assert len(sizes) == -(-200 // crashes_per_message)
     assert max(sizes) < 16_000
 
@@ -134,7 +136,7 @@
         record_crashes(states[0].quarantine, now)
         await polling.until(lambda: states[2].quarantine.suspects_any)
         tasks.cancel_scope.cancel()
-    later = now + quarantine.GATHERING + 1.0
+    later = now + quarantine.MIN_EVALUATION_DELAY + 1.0
     for state in states:
         state.quarantine.handle_tick(later)
         assert state.quarantine.refused_for(BAD, later) is not None
@@ -223,7 +225,7 @@
     store: RecordStore,
     leads: bool,
     version: int = 4,
-    hears_leader: bool = False,
+    follows_leader: bool = False,
 ) -> quarantine_record.QuarantineRecordKeeper:
     control = Control(leads, version)
     control.store_offset = store.now - clock.steady_clock()
@@ -231,7 +233,7 @@
         ledger,
         store,
         control,  # type: ignore[arg-type]
-        lambda: hears_leader,
+        lambda: follows_leader,
     )
 
 
@@ -259,7 +261,9 @@
 
 async def test_node_that_follows_a_leader_does_not_read_the_store() -> None:
     store = RecordStore()
-    follower = make_keeper(quarantine.QuarantineLedger("n"), store, leads=False, hears_leader=True)
+    follower = make_keeper(
+        quarantine.QuarantineLedger("n"), store, leads=False, follows_leader=True
+    )
     for _ in range(5):
         await follower._update()
     assert store.reads == 0
--- a/tests/unit/test_deadly_requests.py
+++ b/tests/unit/test_deadly_requests.py
@@ -272,7 +272,7 @@
         evidence.record_crash(f"b{end}", lost, end * 10.0)
     reads = 0
     assert evidence.fingerprints_to_quarantine((), 1e9) == []
-    assert reads <= 2 * crashes.MAX_CRASHES * crashes.MOST_SUSPECTS
+    assert reads <= 2 * crashes.MAX_CRASHES * crashes.MAX_LOST_PER_CRASH
     assert evidence.unevaluated_since(0, 0.0) < 0.0
     evidence.drop_before(1e9)
     assert not evidence.is_suspect(0)
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limedeck.forwarding.availability import OWNER_STOP
+from limedeck.forwarding.availability import EVACUATED_OWNER_GRACE
 from limedeck.forwarding.backend_state import BackendState
 from limedeck.forwarding.backends import BackendDirectory, Endpoint
 from limedeck.forwarding.budget import USED_FRACTION, RetryAllowance, RetryBudget
@@ -22,7 +22,7 @@
 from limedeck.forwarding.owners import OwnedRange, OwnerMap
 from limedeck.forwarding.protocol import LoadReport
 from limedeck.forwarding.request import RequestCore, ServiceView
-from limedeck.forwarding.request_cost import FEWEST_SAMPLES
+from limedeck.forwarding.request_cost import MIN_SAMPLES
 from limedeck.forwarding.routes import RouteIndex, choose_service
 from limedeck.model import Backend, Configuration, Route, Target
 from limedeck.routing.outcomes import FailurePhase, Outcome
@@ -356,7 +356,7 @@
     scenario.view.owners = OwnerMap(1, (OwnedRange(0, 9, "b"),))
     owner = scenario.directory.find("b")
     assert owner is not None
-    for _ in range(FEWEST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         owner.record_response(0.1, LoadReport(0, 0, 2), 9.0, "/a/")
     scenario.start()
     refused = scenario.fail(phase, 10.01)
@@ -411,7 +411,7 @@
     directory.put(backend("b1"), 0.0)
     state = directory.find("b1")
     assert state is not None
-    for _ in range(FEWEST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         state.record_response(0.06, LoadReport(1, 0, 2), reported, route().name)
     state.record_load(LoadReport(running, waiting, 2), reported)
     view = ServiceView("s", True, RetryBudget(ALLOWANCE))
@@ -506,15 +506,15 @@
 
 def test_a_reported_slowdown_fades_within_a_second() -> None:
     state = state_with_reports(LoadReport(1, 0, 3, 3.0))
-    assert state.relative_pace(1.0) > 2.5
-    assert state.relative_pace(1.2) < 1.8
-    assert state.relative_pace(2.0) == pytest.approx(1.0, abs=0.02)
+    assert state.relative_slowdown(1.0) > 2.5
+    assert state.relative_slowdown(1.2) < 1.8
+    assert state.relative_slowdown(2.0) == pytest.approx(1.0, abs=0.02)
 
 
 def test_a_constant_slowdown_does_not_change_the_relative_pace() -> None:
     """The service time of the back end includes it already."""
     state = state_with_reports(*[LoadReport(1, 0, 3, 3.0)] * 200)
-    assert state.relative_pace(1.0) == pytest.approx(1.0, abs=0.01)
+    assert state.relative_slowdown(1.0) == pytest.approx(1.0, abs=0.01)
 
 
 def test_of_two_equal_back_ends_the_one_without_slowdown_is_chosen() -> None:
@@ -559,7 +559,7 @@
 def test_a_back_end_that_rejects_requests_with_room_left_is_not_taken_for_full() -> None:
     state = state_with_reports(LoadReport(1, 0, 3))
     state.record_queue_full(1.0)
-    assert state.full_at is None
+    assert state.full_load is None
 
 
 # ---------------------------------------------------------------------- zones, cold back ends
@@ -605,7 +605,7 @@
     directory.put(backend("a"), 0.0)
     directory.availability.evacuate("z1", 1.0)
     assert isinstance(command_for(keyed_view("a"), directory, 1.5, 5), Attempt)
-    refused = command_for(keyed_view("a"), directory, 1.0 + OWNER_STOP, 5)
+    refused = command_for(keyed_view("a"), directory, 1.0 + EVACUATED_OWNER_GRACE, 5)
     assert isinstance(refused, Refuse)
     assert (refused.reason, refused.outcome) == (RefusalReason.EVACUATED, Outcome.NOT_RUN)
 
--- a/tests/unit/test_http_client.py
+++ b/tests/unit/test_http_client.py
@@ -279,7 +279,7 @@
         self.is_closed = True
 
 
-@pytest.mark.parametrize("cleanup", ["drop_idle", "drop_address"])
+@pytest.mark.parametrize("cleanup", ["close_idle", "drop_address"])
 async def test_an_idle_connection_is_never_taken_twice(cleanup: str) -> None:
     """Guards against two requests that read from one connection, so that a caller gets 500.
 
@@ -303,8 +303,8 @@
         done.set()
 
     async def clean_up() -> None:
-        if cleanup == "drop_idle":
-            await client.drop_idle({address})
+        if cleanup == "close_idle":
+            await client.close_idle({address})
         else:
             await client._drop_idle_to(address)
 
--- a/tests/unit/test_isolation.py
+++ b/tests/unit/test_isolation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limedeck.forwarding import budget
-from limedeck.forwarding.backend_state import ENDED_REST, LONGEST_UNHEARD_REST
+from limedeck.forwarding.backend_state import EXIT_COOLDOWN, MAX_EXIT_COOLDOWN_EXTENSION
 from limedeck.model import Backend, Configuration
 from limedeck.node import state
 
@@ -24,19 +24,19 @@
 def test_node_without_leader_contact_is_not_ready_until_it_is_restored() -> None:
     """On klvs-gateway scale-2 nodes that were cut off sent requests to former owners for 12 s."""
     node = ready_state()
-    node.note_leader(0.3, 3, 10.0)
+    node.record_leader(0.3, 3, 10.0)
     assert node.is_ready(10.0 + state.ISOLATION_TIMEOUT - 0.1)
     assert not node.is_ready(10.0 + state.ISOLATION_TIMEOUT + 0.1)
-    node.note_leader(0.3, 3, 20.0)
+    node.record_leader(0.3, 3, 20.0)
     assert node.is_ready(20.1)
 
 
 @pytest.mark.parametrize("silence", [state.LEADER_STORE_SILENCE + 0.1, 30.0])
 def test_leader_that_the_store_does_not_confirm_does_not_make_a_node_ready(silence: float) -> None:
     node = ready_state()
-    node.note_leader(0.3, 3, 10.0)
+    node.record_leader(0.3, 3, 10.0)
     for step in range(10):
-        node.note_leader(silence, 3, 10.0 + step)
+        node.record_leader(silence, 3, 10.0 + step)
     assert not node.is_ready(19.0)
 
 
@@ -44,10 +44,10 @@
     """Otherwise each half of the nodes shares the whole amount that all nodes may use."""
     node = ready_state()
     for second in range(14):
-        node.note_leader(0.3, 6, float(second))
+        node.record_leader(0.3, 6, float(second))
     assert node.retry_sharing_nodes(13.0) == 6
     for second in range(14, 40):
-        node.note_leader(state.LEADER_STORE_SILENCE + 0.1, 3, float(second))
+        node.record_leader(state.LEADER_STORE_SILENCE + 0.1, 3, float(second))
         assert node.retry_sharing_nodes(float(second)) in (0, 6)
     assert node.retry_sharing_nodes(39.0) == 0
 
@@ -73,7 +73,7 @@
 ) -> None:
     """Record a leader each second that the store has not confirmed since `store_away_at`."""
     for second in range(since, until):
-        node.note_leader(max(second - store_away_at, 0.3), 3, float(second))
+        node.record_leader(max(second - store_away_at, 0.3), 3, float(second))
 
 
 def test_back_end_that_exited_during_a_store_outage_counts_as_cold_until_it_is_over() -> None:
@@ -82,14 +82,14 @@
     record_leader_each_second(node, 9, 18, store_away_at=8)
     assert is_cold(node, 18.0)
     record_leader_each_second(node, 18, 24, store_away_at=30)
-    assert not is_cold(node, 18.0 + ENDED_REST)
+    assert not is_cold(node, 18.0 + EXIT_COOLDOWN)
 
 
 def test_exit_cooldown_is_not_extended_without_limit_during_a_long_store_outage() -> None:
     node = node_with_exited_back_end(10.0)
     record_leader_each_second(node, 9, 100, store_away_at=8)
-    assert is_cold(node, 10.0 + LONGEST_UNHEARD_REST)
-    assert not is_cold(node, 10.0 + LONGEST_UNHEARD_REST + ENDED_REST + 0.1)
+    assert is_cold(node, 10.0 + MAX_EXIT_COOLDOWN_EXTENSION)
+    assert not is_cold(node, 10.0 + MAX_EXIT_COOLDOWN_EXTENSION + EXIT_COOLDOWN + 0.1)
 
 
 def test_back_end_listed_again_during_a_store_outage_has_no_exit_cooldown() -> None:
--- a/tests/unit/test_load_exchange.py
+++ b/tests/unit/test_load_exchange.py
@@ -85,10 +85,10 @@
     """Without decay, an idle back end of six got none of 60 requests a second while observed."""
     services = dict.fromkeys((1, 2, 3), "s") | {4: "other"}
     totals = [
-        fleet_load.BackendTotal(1, 0, 0.05, answered_at=10.0),
-        fleet_load.BackendTotal(2, 0, 0.02, answered_at=20.0),
-        fleet_load.BackendTotal(3, 0, 0.02, answered_at=20.0),
-        fleet_load.BackendTotal(4, 0, 0.30, answered_at=20.0),
+        fleet_load.BackendTotal(1, 0, 0.05, responded_at=10.0),
+        fleet_load.BackendTotal(2, 0, 0.02, responded_at=20.0),
+        fleet_load.BackendTotal(3, 0, 0.02, responded_at=20.0),
+        fleet_load.BackendTotal(4, 0, 0.30, responded_at=20.0),
     ]
 
     def times(now: float) -> list[float]:
@@ -97,7 +97,7 @@
             for item in fleet_load.with_decayed_service_times(totals, services, now)
         ]
 
-    assert times(10.0 + fleet_load.FRESH)[0] == 0.05
+    assert times(10.0 + fleet_load.FRESH_TIME)[0] == 0.05
     late = times(20.0)
     assert late[0] < 0.024
     assert late[1:] == pytest.approx([0.02, 0.02, 0.30], rel=0.1)
--- a/tests/unit/test_notifier.py
+++ b/tests/unit/test_notifier.py
@@ -23,29 +23,29 @@
     """
     notifier = notifiers.Notifier()
     known = notifier.count
-    notifier.give()
+    notifier.notify()
     with anyio.fail_after(LONG / 100):
-        await notifier.wait_beyond(known, LONG)
+        await notifier.wait_past(known, LONG)
 
 
 async def test_wait_lasts_until_the_next_change() -> None:
     notifier = notifiers.Notifier()
-    notifier.give()
+    notifier.notify()
     woken = []
 
     async def wait() -> None:
-        await notifier.wait_beyond(1, LONG)
+        await notifier.wait_past(1, LONG)
         woken.append(notifier.count)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.wait_all_tasks_blocked()
         assert woken == []
-        notifier.give()
+        notifier.notify()
     assert woken == [2]
 
 
 async def test_wait_ends_after_the_time_out() -> None:
     notifier = notifiers.Notifier()
-    await notifier.wait_beyond(0, 0.0)
+    await notifier.wait_past(0, 0.0)
     assert notifier.count == 0
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -9,7 +9,7 @@
 from limedeck.forwarding import crashes, quarantine, request_content
 
 BAD, OTHER, THIRD = 1, 2, 3
-EVALUATION_DELAY = 0.01 + quarantine.GATHERING
+EVALUATION_DELAY = 0.01 + quarantine.MIN_EVALUATION_DELAY
 
 
 def fingerprints(number: int) -> request_content.RequestFingerprints:
@@ -245,7 +245,9 @@
         updates, known_version = ledger.updates_since(known_version, None)
         if not updates:
             break
-        assert sum(map(quarantine._fingerprint_count, updates)) <= quarantine.MOST_TOLD
+        assert (
+            sum(map(quarantine._fingerprint_count, updates)) <= quarantine.MAX_UPDATE_FINGERPRINTS
+        )
         items += len(updates)
     assert items <= quarantine.MAX_QUARANTINES + crashes.MAX_CRASHES + crashes.MAX_SERVED
 
--- a/tests/unit/test_service_ownership.py
+++ b/tests/unit/test_service_ownership.py
@@ -61,9 +61,9 @@
         if order.backend_id in self.unresponsive:
             self.core.handle_order_lost(order, self.now + TIMING.order_timeout)
         elif isinstance(command, SendGrant):
-            self.core.handle_grant_answer(command.order, True, False, self.now, self.now)
+            self.core.handle_grant_response(command.order, True, False, self.now, self.now)
         elif isinstance(command, SendRelease):
-            self.core.handle_release_answer(command.order, True, "token", self.now)
+            self.core.handle_release_response(command.order, True, "token", self.now)
 
     def owners(self) -> list[tuple[int, int, str]]:
         return [(r.first, r.last, r.owner) for r in self.core.published(self.now)]
@@ -451,7 +451,7 @@
     driver = new_driver()
     driver.run(3.0)
     order = next(order for _, order in reversed(driver.orders) if isinstance(order, Grant))
-    driver.core.handle_grant_answer(order, False, fence_seen, 3.0, 3.0)
+    driver.core.handle_grant_response(order, False, fence_seen, 3.0, 3.0)
     assert driver.core.fenced_off
 
 
@@ -489,7 +489,7 @@
     driver = CoreDriver(core)
     driver.run(3.0)
     assert "a" in {item.owner for item in core.ranges}
-    core.set_failing(["a"])
+    core.set_failing_backends(["a"])
     driver.run(4.0)
     assert {item.owner for item in core.ranges} == {"b", "c"}
     released = [order for _, order in driver.orders if isinstance(order, Release)]
@@ -502,7 +502,7 @@
     driver = CoreDriver(core)
     driver.run(3.0)
     before = [(item.first, item.last, item.owner) for item in core.ranges]
-    core.set_failing(["a", "b"])
+    core.set_failing_backends(["a", "b"])
     driver.run(4.0)
     assert [(item.first, item.last, item.owner) for item in core.ranges] == before
 
--- a/tests/unit/test_slow_leader.py
+++ b/tests/unit/test_slow_leader.py
@@ -98,10 +98,10 @@
             elif command.order.backend_id in unresponsive_ids:
                 core.handle_order_lost(command.order, now)
             elif isinstance(command, SendGrant):
-                core.handle_grant_answer(command.order, True, False, now, now)
+                core.handle_grant_response(command.order, True, False, now, now)
             else:
-                core.handle_release_answer(command.order, True, "", now)
-        has_doubted = has_doubted or core.doubts_itself
+                core.handle_release_response(command.order, True, "", now)
+        has_doubted = has_doubted or core.should_yield
         now = round(now + 0.05, 3)
     return has_doubted
 
--- a/tests/unit/test_statements.py
+++ b/tests/unit/test_statements.py
@@ -8,7 +8,7 @@
 
 from limedeck.api import control_pb2
 from limedeck.forwarding.backends import BackendDirectory
-from limedeck.forwarding.backoffs import MAX_BACKOFF, RETURN_SPREAD, BackoffLedger
+from limedeck.forwarding.backoffs import MAX_BACKOFF, RETRY_SPREAD, BackoffLedger
 from limedeck.forwarding.leaving import LEAVING_RETENTION, LeavingLedger, LeavingStatement
 from limedeck.model import Backend
 from limedeck.node.leaving_updates import LeavingUpdatePeer
@@ -106,7 +106,7 @@
     backoff = ledger.find("a")
     assert backoff is not None
     assert backoff.ends_at == 13.0
-    assert 13.0 <= backoff.resume_at <= 13.0 + RETURN_SPREAD
+    assert 13.0 <= backoff.resume_at <= 13.0 + RETRY_SPREAD
 
 
 def test_nodes_resume_at_different_times() -> None:
@@ -139,7 +139,7 @@
     ledger.record("a", 3.0, 10.0)
     ledger.record_served("a", 9.9)
     assert ledger.find("a") is not None
-    ledger.record_served("a", 13.0 + RETURN_SPREAD)
+    ledger.record_served("a", 13.0 + RETRY_SPREAD)
     assert ledger.find("a") is None
 
 
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -80,14 +80,14 @@
         tasks.start_soon(listener.serve, _accept_silently)
         tasks.start_soon(exchange, LONG)
         tasks.start_soon(exchange, 3 * LONG)
-        await polling.until(lambda: len(client._under_way) == 2)
+        await polling.until(lambda: len(client._active) == 2)
         watch.check()
         await anyio.sleep(0.05)
         assert problems == []
         machine.suspended += LONG
         watch.check()
         await polling.until(lambda: bool(problems))
-        assert problems == [http_client.OUT_OF_TIME]
+        assert problems == [http_client.DEADLINE_EXCEEDED]
         tasks.cancel_scope.cancel()
     counted_seconds = metrics.registry.get_sample_value("limedeck_suspended_seconds_total")
     # The two clocks are read one after the other, some microseconds apart.
--- a/tests/unit/test_table_exchange.py
+++ b/tests/unit/test_table_exchange.py
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.user = ReplicaUser()
-        follower = watchers.TableFollower(
+        follower = watchers.TableSubscription(
             "t", self.user.put, self.user.remove, self.user.complete, 0.0, 20.0
         )
         self.watcher = watchers.TableWatcher(test_watchers.ScriptedStore(), follower)
@@ -102,7 +102,7 @@
 def test_a_node_that_missed_forgotten_changes_is_sent_a_snapshot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(replica, "MOST_DROPPED", 3)
+    monkeypatch.setattr(replica, "MAX_DROPPED_ROWS", 3)
     leader, behind = Node(), Node()
     for node in (leader, behind):
         node.reads(1.0, 9, *(entry(f"k{number}", number) for number in range(1, 10)))
--- a/tests/unit/test_telling.py
+++ b/tests/unit/test_telling.py
@@ -74,4 +74,4 @@
     connections.node_count = lambda: followers + 1  # type: ignore[method-assign]
     pause = connections._status_pause()
     assert pause <= max_pause
-    assert pause + TIMING.heartbeat_interval < TIMING.leader_silence
+    assert pause + TIMING.heartbeat_interval < TIMING.leader_timeout
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limedeck.identity import Seconds
-from limedeck.node.watchers import MAX_LAG, TEMPORARY_FEED_WAIT, TableFollower, TableWatcher
+from limedeck.node.watchers import MAX_LAG, TEMPORARY_FEED_WAIT, TableSubscription, TableWatcher
 from limedeck.store import feeds
 from limedeck.store.rows import (
     HistoryGone,
@@ -93,13 +93,13 @@
         self.keys: set[str] = set()
         self.completions = 0
 
-    def follower(self) -> TableFollower:
-        return TableFollower(
+    def follower(self) -> TableSubscription:
+        return TableSubscription(
             "t",
             put=lambda row, source: self.keys.add(row.key),
             remove=lambda key: self.keys.discard(key),
             complete=self._complete,
-            joining=0.0,
+            batch_time=0.0,
             feed_wait=20.0,
         )
 
--- a/tests/unit/test_ways_to_return.py
+++ b/tests/unit/test_ways_to_return.py
@@ -101,7 +101,7 @@
             core = RequestCore(
                 request_id, ROUTE, node.view, node.directory, None, deadline, now, tries > 1
             )
-            refused = yield from self._play(node, core)
+            refused = yield from self._execute_commands(node, core)
             if refused is None:
                 duration = self.env.now - first
                 break
