--- a/src/limedeck/keyspace/__init__.py
+++ b/src/limedeck/keyspace/__init__.py
@@ -1,1 +1,1 @@
-"""The key line: hashing, slices and the planning of who owns what."""
+"""The key space: hashing of keys, slices, and planning of their owners."""
--- a/src/limedeck/keyspace/hashing.py
+++ b/src/limedeck/keyspace/hashing.py
@@ -1,4 +1,4 @@
-"""Where a key lies on the key line."""
+"""Hashing of keys to positions in the key space."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 KEY_LINE_BITS = 64
 KEY_LINE_END = 1 << KEY_LINE_BITS
-"""First position after the end of the line."""
+"""End of the key space, exclusive."""
 
 
 def key_position(key: str) -> int:
-    """Hash a key to its position on the line, in ``[0, KEY_LINE_END)``."""
+    """Hash a key to its position in the key space, ``[0, KEY_LINE_END)``."""
     return xxhash.xxh3_64_intdigest(key.encode())
 
 
-def even_cuts(count: int) -> list[int]:
-    """Start positions that cut the line into `count` slices of equal width."""
+def equal_slice_starts(count: int) -> list[int]:
+    """Return the starts of `count` slices of equal width that cover the key space."""
     return [index * KEY_LINE_END // count for index in range(count)]
 
 
 def rendezvous_weight(name: str, key: str) -> int:
-    """Weight of `name` for `key`: the highest of several names wins (rendezvous hashing)."""
+    """Weight of `name` for `key`: the name with the highest one is chosen (rendezvous hashing)."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode())
--- a/src/limedeck/keyspace/planning.py
+++ b/src/limedeck/keyspace/planning.py
@@ -1,4 +1,4 @@
-"""Planning who should own which slice: pure functions over a slice map and measured loads."""
+"""Planning of the slices' owners: pure functions of a slice map and measured loads."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 
 from limedeck.api.peer_pb2 import AssignmentChange
 from limedeck.identity import BackendId
-from limedeck.keyspace.hashing import KEY_LINE_END, even_cuts
+from limedeck.keyspace.hashing import KEY_LINE_END, equal_slice_starts
 from limedeck.keyspace.slices import NO_OWNER, Slice, SliceMap, change_of
 
-UNIFORM_LOAD_WEIGHT = 0.05
-"""Part of a slice's weight that comes from its width, so that idle slices still count."""
-EVEN_RATE_PER_BACKEND = 10.0
-"""Requests a second for each back end that weights assume to be spread evenly: below this, what
-is measured is mostly chance."""
+UNIFORM_LOAD_FRACTION = 0.05
+"""Fraction of the total load that is added to the slices by width, so that idle ones count."""
+MIN_UNIFORM_LOAD_PER_BACKEND = 10.0
+"""Least load per back end, in requests per second, that is added to the slices by width: below this
+rate, measured loads are mostly chance."""
 BALANCE_TOLERANCE = 1.1
-"""Highest over mean weight that the rebalancer leaves alone."""
+"""Ratio of the highest to the mean weight up to which back ends are not rebalanced."""
 SPLIT_SHARE_OF_MEAN = 0.25
-"""A slice heavier than this part of the mean back end's weight is split."""
-SPLIT_RATE = 10.0
-"""A slice with fewer requests a second is not split: the measurement would be noise."""
+"""Fraction of the mean weight of a back end above which a slice is split."""
+MIN_SPLIT_RATE = 10.0
+"""Requests per second below which a slice is not split: measurements of such rates are noise."""
 MERGE_SHARE_OF_MEAN = 0.002
-"""Two neighbours of one owner lighter than this together are merged."""
-MINIMUM_SPLIT_WIDTH = KEY_LINE_END >> 24
-"""A narrower slice holds a few keys at most; splitting it would not spread a hot one."""
-SPLITS_AT_ONCE = 8
-MERGES_AT_ONCE = 8
+"""Fraction of the mean weight of a back end below which two neighbouring slices of one owner are
+merged, by their total weight."""
+MIN_SPLIT_WIDTH = KEY_LINE_END >> 24
+"""A narrower slice has a few keys at most; splitting it would not spread the load of a hot key."""
+MAX_SPLITS_PER_STEP = 8
+MAX_MERGES_PER_STEP = 8
 
 
 @dataclass(frozen=True)
 class Move:
-    """A slice that should change owner.
+    """A planned change of a slice's owner.
 
     Parameters
     ----------
     start
         Start of the slice.
     source, target
-        Present and wanted owner; the source is `NO_OWNER` for an unowned slice.
+        Present and planned owner; the source is `NO_OWNER` for an unowned slice.
     """
 
     start: int
@@ -48,15 +49,15 @@
 
 
 def initial_assignment(backends: Sequence[BackendId], slices_per_backend: int) -> AssignmentChange:
-    """Cut the line evenly and deal the slices out in turn."""
-    starts = even_cuts(len(backends) * slices_per_backend)
+    """Divide the key space into slices of equal width, assigned to the back ends in turn."""
+    starts = equal_slice_starts(len(backends) * slices_per_backend)
     return change_of((start, backends[index % len(backends)]) for index, start in enumerate(starts))
 
 
 def slice_weights(
     slices: SliceMap, loads: Mapping[int, float], backend_count: int
 ) -> dict[int, float]:
-    """Weight of each slice, by its start: measured load plus a part for its width.
+    """Return the weight of each slice by its start: its measured load plus a part for its width.
 
     Parameters
     ----------
@@ -65,15 +66,15 @@
     loads
         Requests per second by slice start; a missing slice counts as idle.
     """
-    even_rate = EVEN_RATE_PER_BACKEND * backend_count
-    width_weight = max(UNIFORM_LOAD_WEIGHT * sum(loads.values()), even_rate)
+    min_uniform_load = MIN_UNIFORM_LOAD_PER_BACKEND * backend_count
+    width_weight = max(UNIFORM_LOAD_FRACTION * sum(loads.values()), min_uniform_load)
     return {item.start: loads.get(item.start, 0.0) + item.share * width_weight for item in slices}
 
 
 def backend_weights(
     slices: SliceMap, weights: Mapping[int, float], backends: Sequence[BackendId]
 ) -> dict[BackendId, float]:
-    """Sum of slice weights for each of `backends`."""
+    """Return the sum of the slices' weights for each of `backends`."""
     totals = dict.fromkeys(backends, 0.0)
     for item in slices:
         if item.owner in totals:
@@ -87,17 +88,17 @@
     leaving: set[BackendId],
     receivers: Sequence[BackendId],
 ) -> list[Move]:
-    """Give every slice of `leaving` owners, and every unowned one, to the lightest receiver."""
+    """Move all slices of `leaving` owners and all unowned ones, each to the lightest receiver."""
     if not receivers:
         return []
     weights = slice_weights(slices, loads, len(receivers))
     totals = backend_weights(slices, weights, receivers)
     queue = [(weight, backend) for backend, weight in totals.items()]
     heapq.heapify(queue)
-    homeless = [item for item in slices if item.owner in leaving or item.owner == NO_OWNER]
-    homeless.sort(key=lambda item: (-weights[item.start], item.start))
+    to_move = [item for item in slices if item.owner in leaving or item.owner == NO_OWNER]
+    to_move.sort(key=lambda item: (-weights[item.start], item.start))
     moves = []
-    for item in homeless:
+    for item in to_move:
         weight, target = heapq.heappop(queue)
         moves.append(Move(item.start, item.owner, target))
         heapq.heappush(queue, (weight + weights[item.start], target))
@@ -110,7 +111,7 @@
     backends: Sequence[BackendId],
     budget: int,
 ) -> list[Move]:
-    """Move the least weight that brings the heaviest back end under the tolerance.
+    """Plan moves that bring the heaviest back end within tolerance, with little weight moved.
 
     Parameters
     ----------
@@ -119,7 +120,7 @@
     backends
         Back ends that may own slices.
     budget
-        Greatest number of moves to plan.
+        Largest number of moves to plan.
     """
     totals = backend_weights(slices, weights, backends)
     if len(totals) < 2:
@@ -152,8 +153,8 @@
     movable = [item for item in owned[source] if 0 < weights[item.start] < room]
     if not movable:
         return None
-    wanted = min(excess, mean - totals[target])
-    chosen = min(movable, key=lambda item: (abs(weights[item.start] - wanted), item.start))
+    desired_weight = min(excess, mean - totals[target])
+    chosen = min(movable, key=lambda item: (abs(weights[item.start] - desired_weight), item.start))
     owned[source].remove(chosen)
     owned[target].append(chosen)
     totals[source] -= weights[chosen.start]
@@ -168,7 +169,7 @@
     backends: Sequence[BackendId],
     budget: int,
 ) -> AssignmentChange:
-    """Halve heavy slices of back ends above the tolerance; owners stay as they are."""
+    """Halve heavy slices of back ends above the tolerance; both halves keep the owner."""
     totals = backend_weights(slices, weights, backends)
     mean = sum(totals.values()) / max(len(totals), 1)
     overloaded = {name for name, total in totals.items() if total > mean * BALANCE_TOLERANCE}
@@ -177,8 +178,8 @@
         for item in slices
         if item.owner in overloaded
         and weights[item.start] > mean * SPLIT_SHARE_OF_MEAN
-        and loads.get(item.start, 0.0) >= SPLIT_RATE
-        and item.end - item.start >= MINIMUM_SPLIT_WIDTH
+        and loads.get(item.start, 0.0) >= MIN_SPLIT_RATE
+        and item.end - item.start >= MIN_SPLIT_WIDTH
     ]
     heavy.sort(key=lambda item: (-weights[item.start], item.start))
     return change_of(((item.start + item.end) // 2, item.owner) for item in heavy[:budget])
@@ -191,7 +192,7 @@
     minimum_slices: int,
     budget: int,
 ) -> AssignmentChange:
-    """Merge light neighbours of one owner, keeping at least `minimum_slices` slices."""
+    """Merge light neighbouring slices of one owner, but leave at least `minimum_slices` slices."""
     room = min(budget, len(slices) - minimum_slices)
     if room <= 0:
         return AssignmentChange()
@@ -210,13 +211,13 @@
 
 
 def _mergeable(left: Slice, right: Slice, weights: Mapping[int, float], mean: float) -> bool:
-    together = weights[left.start] + weights[right.start]
-    return left.owner == right.owner and together < mean * MERGE_SHARE_OF_MEAN
+    total_weight = weights[left.start] + weights[right.start]
+    return left.owner == right.owner and total_weight < mean * MERGE_SHARE_OF_MEAN
 
 
 @dataclass(frozen=True)
 class BalanceStep:
-    """What brings a group nearer to balance now: moves, or else splits or merges."""
+    """The next changes towards balance in a group: moves, or else splits or merges."""
 
     moves: list[Move]
     reshape: AssignmentChange
@@ -229,17 +230,17 @@
     allowed_moves: int,
     minimum_slices: int,
 ) -> BalanceStep:
-    """Move what can be moved; split only what moves cannot balance; merge when all is well.
+    """Plan moves; splits only if there are no moves; merges only if there are no splits.
 
-    Splitting first would starve the moves: a hot key's slice stays heavy however often it is
-    halved.
+    If splits came before moves, moves would never be planned while one key is hot: its slice stays
+    heavy however often it is halved.
     """
     weights = slice_weights(slices, loads, len(backends))
     moves = plan_rebalance(slices, weights, backends, allowed_moves)
     if moves:
         return BalanceStep(moves, AssignmentChange())
-    splits = plan_splits(slices, loads, weights, backends, SPLITS_AT_ONCE)
+    splits = plan_splits(slices, loads, weights, backends, MAX_SPLITS_PER_STEP)
     if splits.upserts:
         return BalanceStep([], splits)
-    merges = plan_merges(slices, weights, len(backends), minimum_slices, MERGES_AT_ONCE)
+    merges = plan_merges(slices, weights, len(backends), minimum_slices, MAX_MERGES_PER_STEP)
     return BalanceStep([], merges)
--- a/src/limedeck/keyspace/slices.py
+++ b/src/limedeck/keyspace/slices.py
@@ -1,4 +1,4 @@
-"""The slice map: which back end owns each part of the key line."""
+"""The slice map: which back end owns each range of the key space."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from limedeck.keyspace.hashing import KEY_LINE_END
 
 NO_OWNER = BackendId("")
-START_TYPE = "Q"
-"""Array type of a position: 64 bits, unsigned."""
-OWNER_TYPE = "I"
-"""Array type of an owner's number: 32 bits, unsigned."""
+START_TYPECODE = "Q"
+"""Type code of the array of start positions: 64 bits, unsigned."""
+OWNER_TYPECODE = "I"
+"""Type code of the array of owners' numbers: 32 bits, unsigned."""
 
 
 @dataclass(frozen=True)
 class Slice:
-    """A half-open range of the key line and its owner.
+    """A half-open range of the key space and its owner.
 
     Parameters
     ----------
     start, end
-        Positions; the slice holds ``start <= position < end``.
+        The slice contains the positions with ``start <= position < end``.
     owner
         The back end that owns it, or `NO_OWNER`.
     """
@@ -37,20 +37,21 @@
 
     @property
     def share(self) -> float:
-        """Part of the key line that this slice covers, in ``(0, 1]``."""
+        """Fraction of the key space that this slice covers, in ``(0, 1]``."""
         return (self.end - self.start) / KEY_LINE_END
 
 
 class SliceMap:
-    """A complete cut of the key line into slices, changed by deltas.
+    """A partition of the key space into slices, changed by deltas.
 
-    The map is either empty (nothing was assigned yet) or covers the whole line. Starts and owners
-    are kept in arrays, so that a node can hold the maps of all groups: 12 bytes a slice.
+    The map is either empty (nothing is assigned yet) or covers the whole key space. Starts and
+    owners are stored in arrays, at 12 bytes per slice, so that a node can hold the maps of all
+    groups.
     """
 
     def __init__(self) -> None:
-        self._starts = array(START_TYPE)
-        self._owner_numbers = array(OWNER_TYPE)
+        self._starts = array(START_TYPECODE)
+        self._owner_numbers = array(OWNER_TYPECODE)
         self._owners: list[BackendId] = []
         self._numbers: dict[BackendId, int] = {}
 
@@ -70,7 +71,7 @@
     __hash__ = None  # type: ignore[assignment]
 
     def locate(self, position: int) -> Slice:
-        """Find the slice that holds a position.
+        """Return the slice that contains a position.
 
         Raises
         ------
@@ -82,7 +83,7 @@
         return self._slice_at(bisect_right(self._starts, position) - 1)
 
     def slice_starting_at(self, start: int) -> Slice:
-        """Return the slice with this start.
+        """Return the slice that starts at a position.
 
         Raises
         ------
@@ -95,12 +96,12 @@
         return self._slice_at(index)
 
     def owner_of_start(self, start: int) -> BackendId | None:
-        """Owner of the slice that starts here, or None when none does."""
+        """Return the owner of the slice that starts at a position, or None if none does."""
         index = self._index_of(start)
         return None if index is None else self._owners[self._owner_numbers[index]]
 
     def slices_of(self, owner: BackendId) -> list[Slice]:
-        """All slices of one owner, in the order of the line."""
+        """Return all slices of one owner, ordered by start."""
         number = self._numbers.get(owner)
         return [
             self._slice_at(index)
@@ -109,12 +110,12 @@
         ]
 
     def owners(self) -> set[BackendId]:
-        """Every back end that owns a slice."""
+        """Return all back ends that own a slice."""
         present = set(self._owner_numbers)
         return {self._owners[number] for number in present} - {NO_OWNER}
 
     def slice_count(self, owner: BackendId) -> int:
-        """How many slices one back end owns."""
+        """Return how many slices one back end owns."""
         number = self._numbers.get(owner)
         return 0 if number is None else self._owner_numbers.count(number)
 
@@ -124,7 +125,7 @@
         Raises
         ------
         InvariantViolation
-            The delta would leave a part of the line without a slice.
+            The delta leaves the start of the key space without a slice.
         """
         for start in change.removed_starts:
             self._remove(start)
@@ -134,7 +135,7 @@
             raise InvariantViolation("slices-cover-the-line", "no slice starts at position 0")
 
     def to_change(self) -> AssignmentChange:
-        """Write the whole map as a delta to an empty one."""
+        """Return the whole map as a delta to an empty one."""
         names = [self._owners[number] for number in self._owner_numbers]
         return change_of(zip(self._starts, names, strict=True))
 
@@ -174,7 +175,7 @@
             del self._owner_numbers[index]
 
     def _number_of(self, owner: BackendId) -> int:
-        """Number that stands for an owner; owners that own nothing any more keep theirs."""
+        """Return an owner's number, which it keeps even when it has no slice left."""
         number = self._numbers.get(owner)
         if number is None:
             number = len(self._owners)
@@ -198,7 +199,7 @@
 
 
 class RangeLookup:
-    """A set of half-open ranges with fast membership, as a back end holds it."""
+    """A back end's set of half-open ranges, with a fast membership test."""
 
     def __init__(self, ranges: Iterable[tuple[int, int]]) -> None:
         ordered = sorted(ranges)
@@ -211,9 +212,9 @@
         return index >= 0 and position < self._ends[index]
 
     def start_of(self, position: int) -> int:
-        """Start of the range that holds a position, which must be in the set."""
+        """Return the start of the range that contains a position, which must be in the set."""
         return self._starts[bisect_right(self._starts, position) - 1]
 
     def ranges(self) -> list[tuple[int, int]]:
-        """The ranges, in the order of the line."""
+        """Return the ranges, ordered by start."""
         return self._ranges
--- a/src/limedeck/routing/__init__.py
+++ b/src/limedeck/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions without I/O: which back end gets a request, and what follows a failure."""
+"""Routing decisions without I/O: choice of a back end, and handling of failed attempts."""
--- a/src/limedeck/routing/backends.py
+++ b/src/limedeck/routing/backends.py
@@ -1,4 +1,4 @@
-"""What a router knows of each back end from its own requests, and its share of them."""
+"""One router's state of each back end, and the choice of one for a request without an owner."""
 
 from __future__ import annotations
 
@@ -10,29 +10,36 @@
 from limedeck.keyspace.hashing import rendezvous_weight
 
 FAILURES_TO_EJECT = 3
+"""Consecutive failures that cause an ejection."""
 BASE_EJECTION_TIME: Seconds = 1.0
+"""Duration of a back end's first ejection; doubled for each one that follows."""
 MAX_EJECTION_TIME: Seconds = 30.0
 LATENCY_SMOOTHING = 0.2
+"""Weight of one response in the smoothed latency."""
 SLOW_START_TIME: Seconds = 5.0
 SLOW_START_WEIGHT = 0.2
+"""Lowest weight of a back end during its slow start; the full weight is 1."""
 
 
 @dataclass
 class BackendState:
-    """One back end in one router's eyes.
+    """One router's state of one back end.
 
     Parameters
     ----------
     outstanding
-        Requests this router has sent and not seen the end of.
+        Requests of this router that have not ended.
     failures
-        Attempts in a row without an answer.
+        Consecutive failed attempts since the last response or ejection.
+    ejections
+        Consecutive ejections since the last response.
     ejected_until
-        It gets no requests of services that need no owner until then.
+        Until then it gets no requests of services without owners, unless every candidate is
+        ejected.
     first_seen_at
-        When this router first chose it, for the slow start.
+        When this router first considered it for a request; its slow start begins then.
     latency
-        Smoothed time to a whole answer, in seconds.
+        Smoothed time to a complete response, in seconds; zero before the first one.
     """
 
     outstanding: int = 0
@@ -43,7 +50,7 @@
     latency: Seconds = 0.0
 
     def record_response(self, took: Seconds) -> None:
-        """An attempt ended with an answer."""
+        """Record that an attempt ended with a response."""
         self.failures = 0
         self.ejections = 0
         if self.latency == 0.0:
@@ -52,23 +59,23 @@
             self.latency += LATENCY_SMOOTHING * (took - self.latency)
 
     def record_failure(self, now: Seconds) -> None:
-        """An attempt ended without an answer, or with a refusal for want of capacity."""
+        """Record that an attempt got no response, or was rejected for lack of capacity."""
         self.failures += 1
         if self.failures < FAILURES_TO_EJECT:
             return
         self.failures = 0
-        span = min(BASE_EJECTION_TIME * 2.0**self.ejections, MAX_EJECTION_TIME)
+        duration = min(BASE_EJECTION_TIME * 2.0**self.ejections, MAX_EJECTION_TIME)
         self.ejections += 1
-        self.ejected_until = now + span
+        self.ejected_until = now + duration
 
 
 class BackendStates:
-    """All back ends a router has dealt with.
+    """One router's states of all back ends.
 
     Parameters
     ----------
     router_count
-        Live routers, which share each back end's connections.
+        Number of live routers, which share the connections that a back end allows.
     """
 
     def __init__(self, router_count: int = 1) -> None:
@@ -76,11 +83,11 @@
         self._states: dict[str, BackendState] = {}
 
     def state(self, backend_id: str) -> BackendState:
-        """Return a back end's state."""
+        """Return a back end's state, which is created if there is none."""
         return self._states.setdefault(backend_id, BackendState())
 
     def connection_share(self, service: Service) -> int:
-        """Connections to one back end that this router may use."""
+        """Return how many connections to one back end this router may use: at least one."""
         return max(service.limits.backend_connections // max(self.router_count, 1), 1)
 
     def has_room(self, service: Service, backend_id: str) -> bool:
@@ -88,7 +95,7 @@
         return self.state(backend_id).outstanding < self.connection_share(service)
 
     def forget_except(self, backend_ids: Collection[str]) -> None:
-        """Drop the states of back ends that are configured no more."""
+        """Drop the states of back ends that are no longer configured."""
         for backend_id in [item for item in self._states if item not in backend_ids]:
             del self._states[backend_id]
 
@@ -100,10 +107,10 @@
         request_id: str,
         now: Seconds,
     ) -> Backend | None:
-        """Choose a back end for a request that needs no owner, or None when none has room.
+        """Choose a back end for a request that needs no owner, or None if none has room.
 
-        The least loaded of those that are not draining, ejected or excluded is taken; when all of
-        these are ejected, ejections are passed over. Ties are broken by the request's id.
+        The least loaded back end that is not draining, ejected or excluded is chosen; if all
+        candidates are ejected, ejections are ignored. Ties are broken by the request's id.
         """
         usable = [
             item
--- a/src/limedeck/routing/outcomes.py
+++ b/src/limedeck/routing/outcomes.py
@@ -1,7 +1,7 @@
-"""What follows when an attempt to have a back end run a request fails: one table.
+"""Decision table for failed attempts to send a request to a back end.
 
-The row is where the attempt failed, the columns are whether the request may be repeated and
-whether deadline and retry budget allow another attempt.
+A row is the phase in which the attempt failed; the columns are whether the request may be repeated
+and whether the deadline and the retry budget allow another attempt.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller is told, as the value of the answer's ``limedeck-outcome`` header.
+    """What a caller learns about its request: the value of the ``limedeck-outcome`` header.
 
     WHOLE
-        The answer is the back end's, complete.
+        The response is the back end's, and complete.
     NOT_RUN
         No back end has run the request, and none will.
     UNKNOWN
-        A back end may have run the request, or may still do so.
+        A back end may have run the request, or may still run it.
     """
 
     WHOLE = "whole"
@@ -29,25 +29,25 @@
 
 
 class FailurePhase(enum.Enum):
-    """Where an attempt failed.
+    """Phase in which an attempt failed.
 
     NOT_CONNECTED
-        No connection was there; nothing was sent.
+        There was no connection; nothing was sent.
     NOT_SENT
-        A connection was there; no byte of the request had been sent.
+        There was a connection; no byte of the request had been sent.
     TURNED_AWAY
-        A new connection was reset before anything was sent: the back end has too many, or too
-        long a queue.
+        A new connection was reset before anything was sent: the back end has too many connections
+        or too long a queue.
     REFUSED
-        The back end said that it has not run and will not run the request.
+        The back end responded that it has not run the request and will not run it.
     SENDING
-        A part of the request had been sent.
+        Part of the request had been sent.
     AWAITING
-        All was sent; no byte of an answer came.
+        The whole request had been sent; no byte of a response had arrived.
     ANSWERING
-        A part of an answer came.
+        Part of a response had arrived.
     ERROR_ANSWER
-        The back end answered whole, that it failed.
+        The back end sent a complete response that reports an error.
     """
 
     NOT_CONNECTED = "not-connected"
@@ -70,16 +70,16 @@
 
 @dataclass
 class AttemptFailed(BackendError):
-    """An attempt had no whole answer.
+    """An attempt got no complete response.
 
     Parameters
     ----------
     phase
-        Where it failed.
+        Phase in which it failed.
     problem
-        Type of the library's error or what was wrong, for the log.
+        Type of the library's error, or a description of the fault, for the log.
     by_other_end
-        The other end closed the connection, or its system refused one.
+        The back end closed the connection, or its host refused to open one.
     """
 
     phase: FailurePhase
@@ -91,24 +91,24 @@
 
 
 FULL = frozenset({FailurePhase.TURNED_AWAY, FailurePhase.REFUSED})
-"""The back end is there and took nothing more."""
+"""The back end was reached but accepts no more connections or requests."""
 UNREACHED = frozenset({FailurePhase.NOT_CONNECTED, FailurePhase.NOT_SENT})
-"""Nothing of the request came to the back end, nor a connection for it."""
+"""No part of the request reached the back end, which did not reject it either."""
 SURELY_NOT_RUN = FULL | UNREACHED
 
 
 @dataclass(frozen=True)
 class AttemptHistory:
-    """What is known of a request's attempts so far.
+    """What is known about a request and its earlier attempts when one fails.
 
     Parameters
     ----------
     repeatable
         The service allows the request to run more than once.
-    maybe_run
+    may_have_run
         An earlier attempt may have run it.
     time_left, budget_left
-        Another attempt fits before the deadline and into the retry budget.
+        The deadline and the retry budget allow another attempt.
     """
 
     repeatable: bool
--- a/src/limedeck/routing/request.py
+++ b/src/limedeck/routing/request.py
@@ -1,4 +1,4 @@
-"""One request's way through a router: which back end to try, when to wait, when to give up."""
+"""Decisions for one request: which back end to try, when to wait, when to refuse it."""
 
 from __future__ import annotations
 
@@ -23,19 +23,21 @@
 from limedeck.routing.rules import RequestTarget
 
 MIN_ATTEMPT_TIME: Seconds = 0.002
-"""An attempt is not begun with less time than this before the deadline."""
+"""An attempt is not started with less time than this before the deadline."""
 RETRY_DELAY: Seconds = 0.02
-"""Before the same owner is asked again."""
+"""Delay before the request is sent to the same owner again."""
 RETRY_AFTER: Seconds = 1.0
+"""Retry-After of the refusals that are decided here."""
 RETRY_TOKENS_PER_REQUEST = 0.1
-"""Retries are at most this part of requests, beyond a small reserve."""
+"""Retries are limited to this fraction of the requests, plus a small reserve."""
 RETRY_TOKENS_PER_SECOND = 1.0
-"""So that a service with few requests may retry at all after a burst of failures."""
-RETRY_RESERVE = 10.0
+"""Allows a service with few requests to retry after a burst of failures."""
+MAX_RETRY_TOKENS = 10.0
+"""Capacity of the token bucket, which is full at the start."""
 
 
 class RefusalReason(enum.Enum):
-    """Why a request was given up, as the last part of the problem's type."""
+    """Why a request was refused; the value is the last part of the problem document's type."""
 
     NO_OWNER = "no-owner"
     NO_CAPACITY = "no-capacity"
@@ -53,9 +55,9 @@
     Parameters
     ----------
     route_version
-        Version of the assignment that named it; zero for a service that needs no owner.
+        Version of the assignment that names it as the owner; zero for a service without owners.
     deadline
-        On this node's clock.
+        When the caller stops waiting, on this node's clock.
     """
 
     backend: Backend
@@ -65,19 +67,19 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Command: ask again when routes or capacity have changed, at the latest at `until`."""
+    """Command: decide again when routes or capacity have changed, at the latest at `until`."""
 
     until: Seconds
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Command: answer that the request is given up.
+    """Command: refuse the request.
 
     Parameters
     ----------
     retry_after
-        In seconds, when the caller should come back.
+        Time in seconds after which the caller should retry.
     """
 
     outcome: Outcome
@@ -89,18 +91,18 @@
 
 
 class RetryBudget:
-    """Token bucket that keeps retries to a part of the requests, and a trickle beside them."""
+    """Token bucket that limits retries to a fraction of the requests, plus a low constant rate."""
 
     def __init__(self) -> None:
-        self._tokens = RETRY_RESERVE
+        self._tokens = MAX_RETRY_TOKENS
         self._refilled_at: Seconds | None = None
 
     def record_request(self, now: Seconds) -> None:
-        """A request came in."""
+        """Record that a request arrived, and refill the bucket."""
         elapsed = now - self._refilled_at if self._refilled_at is not None else 0.0
         self._refilled_at = now
         earned = RETRY_TOKENS_PER_REQUEST + elapsed * RETRY_TOKENS_PER_SECOND
-        self._tokens = min(RETRY_RESERVE, self._tokens + earned)
+        self._tokens = min(MAX_RETRY_TOKENS, self._tokens + earned)
 
     @property
     def has_tokens(self) -> bool:
@@ -114,14 +116,14 @@
 
 @dataclass(frozen=True)
 class RoutingLimits:
-    """Bounds of one router.
+    """Limits of one router.
 
     Parameters
     ----------
     longest_wait
-        A request waits at most so long for an owner or for capacity, in seconds.
+        Longest time that a request waits for an owner or for capacity, in seconds.
     waiting_requests
-        Requests of a service that may wait at the same time.
+        Most requests of a service that may wait at the same time.
     """
 
     longest_wait: Seconds = 4.0
@@ -130,7 +132,7 @@
 
 @dataclass(frozen=True)
 class RouterView:
-    """What a request's decisions look at."""
+    """State of a router on which the decisions for a request are based."""
 
     config: ConfigReplica
     routes: RouteTable
@@ -144,7 +146,7 @@
     Parameters
     ----------
     deadline
-        On this node's clock.
+        When the caller stops waiting, on this node's clock.
     budget
         The service's retry budget at this router.
     """
@@ -168,18 +170,18 @@
         self._excluded: set[str] = set()
         self._stale_version = 0
         self._not_before: Seconds = now
-        self._maybe_run = False
+        self._may_have_run = False
         self._in_flight: Attempt | None = None
 
     @property
     def in_flight(self) -> Attempt | None:
-        """The attempt that has not ended."""
+        """The attempt that has not ended, or None."""
         return self._in_flight
 
     def next_command(self, now: Seconds) -> RequestCommand:
-        """Decide what to do next: at the start, and after a `Wait`."""
+        """Decide what to do: at the start, and after a `Wait`."""
         if now + MIN_ATTEMPT_TIME >= self.deadline:
-            return self._give_up(RefusalReason.DEADLINE_EXCEEDED)
+            return self._refuse(RefusalReason.DEADLINE_EXCEEDED)
         if self.target.place is None:
             return self._try_any(now)
         return self._try_owner(now)
@@ -192,7 +194,7 @@
         Parameters
         ----------
         not_owner
-            The back end refused because it does not own the key.
+            Whether the back end refused the request because it does not own the key.
         """
         attempt = self._in_flight
         if attempt is None:
@@ -200,14 +202,14 @@
         self._in_flight = None
         history = AttemptHistory(
             repeatable=self.target.repeatable,
-            may_have_run=self._maybe_run,
+            may_have_run=self._may_have_run,
             time_left=now + MIN_ATTEMPT_TIME < self.deadline,
             budget_left=not_owner or self._budget.has_tokens,
         )
         decision = decide(phase, history)
-        self._maybe_run = self._maybe_run or phase not in SURELY_NOT_RUN
+        self._may_have_run = self._may_have_run or phase not in SURELY_NOT_RUN
         if decision is not Decision.RETRY:
-            return self._give_up(_reason_for(phase, history.time_left))
+            return self._refuse(_reason_for(phase, history.time_left))
         if not not_owner:
             self._budget.take()
         self._exclude(attempt, now)
@@ -244,7 +246,7 @@
         return self._wait(now, RefusalReason.NO_CAPACITY)
 
     def _attempt(self, backend: Backend, version: int) -> Attempt:
-        if self._maybe_run and not self.target.repeatable:
+        if self._may_have_run and not self.target.repeatable:
             raise InvariantViolation("unrepeatable-runs-once", self.request_id)
         self.attempts += 1
         self._in_flight = Attempt(backend, version, self.deadline)
@@ -252,12 +254,12 @@
 
     def _wait(self, now: Seconds, reason: RefusalReason) -> RequestCommand:
         if now >= self._wait_end:
-            return self._give_up(reason)
+            return self._refuse(reason)
         pause = max(self._not_before - now, RETRY_DELAY)
         return Wait(min(now + pause, self._wait_end))
 
-    def _give_up(self, reason: RefusalReason) -> Refuse:
-        outcome = Outcome.UNKNOWN if self._maybe_run else Outcome.NOT_RUN
+    def _refuse(self, reason: RefusalReason) -> Refuse:
+        outcome = Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
         return Refuse(outcome, reason, RETRY_AFTER)
 
 
--- a/src/limedeck/routing/route_table.py
+++ b/src/limedeck/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Every group's assignment, as a router knows it."""
+"""A router's copy of the assignments of all groups."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where a position of the key line belongs.
+    """The slice that holds a position of the key space.
 
     Parameters
     ----------
     version
-        Version of the assignment that says so.
+        Version of the group's assignment.
     """
 
     group: GroupId
@@ -38,69 +38,71 @@
 
 
 class RouteTable:
-    """Assignments of all groups, each of which only ever moves forward."""
+    """Assignments of all groups; the version of each only increases."""
 
     def __init__(self) -> None:
         self.groups: dict[GroupId, GroupRoutes] = {}
         self.change_count = 0
-        """Raised with every change."""
+        """Incremented with every change of the table."""
 
     def apply(self, update: RouteUpdate) -> UpdateOutcome:
-        """Take in a group's assignment unless it is older than what is held."""
+        """Apply an update of a group's assignment unless it is stale or leaves a gap."""
         group = GroupId(update.group)
-        held = self.groups.get(group) or GroupRoutes()
-        if update.version <= held.version:
+        current = self.groups.get(group) or GroupRoutes()
+        if update.version <= current.version:
             return UpdateOutcome.STALE
-        if update.previous_version not in (0, held.version):
+        if update.previous_version not in (0, current.version):
             return UpdateOutcome.GAP
         if update.previous_version == 0:
-            held.slices = slice_map_from(update.change)
+            current.slices = slice_map_from(update.change)
         else:
-            held.slices.apply(update.change)
-        held.version = update.version
-        held.leader = Voter.from_message(update.leader)
-        self.groups[group] = held
+            current.slices.apply(update.change)
+        current.version = update.version
+        current.leader = Voter.from_message(update.leader)
+        self.groups[group] = current
         self.change_count += 1
         return UpdateOutcome.APPLIED
 
     def locate(self, group: GroupId, position: int) -> Route | None:
-        """Find the slice that holds a position; None when the group is not known yet."""
-        held = self.groups.get(group)
-        if held is None or len(held.slices) == 0:
+        """Return the slice that holds a position; None if the group has no assignment yet."""
+        current = self.groups.get(group)
+        if current is None or len(current.slices) == 0:
             return None
-        found = held.slices.locate(position)
+        found = current.slices.locate(position)
         if not found.start <= position < found.end:
             raise InvariantViolation("located-slice-holds-key", f"{position:#x} in {found}")
-        return Route(group, held.version, found)
+        return Route(group, current.version, found)
 
     def version(self, group: GroupId) -> int:
-        """Version held of a group's assignment, zero for none."""
-        held = self.groups.get(group)
-        return held.version if held else 0
+        """Return the version of a group's assignment; zero if there is none."""
+        current = self.groups.get(group)
+        return current.version if current else 0
 
     def whole(self, group: GroupId) -> RouteUpdate:
-        """Write a group's assignment as one update."""
-        held = self.groups[group]
-        update = RouteUpdate(group=group, version=held.version, change=held.slices.to_change())
-        if held.leader is not None:
-            update.leader.CopyFrom(held.leader.to_message())
+        """Return a snapshot of a group's assignment as an update."""
+        current = self.groups[group]
+        update = RouteUpdate(
+            group=group, version=current.version, change=current.slices.to_change()
+        )
+        if current.leader is not None:
+            update.leader.CopyFrom(current.leader.to_message())
         return update
 
     def versions(self) -> list[GroupVersion]:
-        """Every group's version, in the order of their names."""
+        """Return the versions of all groups, sorted by name."""
         return [
-            GroupVersion(group=group, version=held.version)
-            for group, held in sorted(self.groups.items())
+            GroupVersion(group=group, version=current.version)
+            for group, current in sorted(self.groups.items())
         ]
 
     def checksum(self) -> int:
-        """Hash over all versions: equal for equal tables."""
+        """Return a hash of the versions of all groups, which is equal for equal tables."""
         digest = xxhash.xxh3_64()
         for item in self.versions():
             digest.update(f"{item.group}={item.version};".encode())
         return digest.intdigest()
 
     def remove(self, group: GroupId) -> None:
-        """Forget a group whose service is gone."""
+        """Drop the assignment of a group whose service was removed."""
         self.groups.pop(group, None)
         self.change_count += 1
--- a/src/limedeck/routing/rules.py
+++ b/src/limedeck/routing/rules.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its service, its key and what may be done with it."""
+"""Matching of a caller's request to its service, key, repeatability and deadline."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class KeyPlace:
-    """Where a request's key lies.
+    """The control group and position of a request's key.
 
     Parameters
     ----------
     group
-        Control group that owns it.
+        Control group that assigns the key's owner.
     position
-        On the key line.
+        Position in the key space.
     """
 
     group: GroupId
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True)
 class RequestTarget:
-    """A caller's request, as far as routing needs it.
+    """The parts of a caller's request that routing needs.
 
     Parameters
     ----------
     path
         Path and query for the back end, without the service's name.
     place
-        None for a service that needs no owner.
+        Control group and position of the key; None for a service without owners.
     repeatable
-        Whether it may run more than once.
+        Whether the request may run more than once.
     """
 
     service: Service
@@ -54,19 +54,19 @@
 def match_request(
     config: ConfigReplica, method: str, raw_path: str, query: str, headers: Mapping[str, str]
 ) -> RequestTarget:
-    """Find what a request is for.
+    """Return a request's service, path, key position and repeatability.
 
     Parameters
     ----------
     raw_path
         Percent-encoded path, ``/SERVICE/...``.
     headers
-        By lower-case name.
+        Headers by lower-case name.
 
     Raises
     ------
     UnknownService, MissingKey
-        It cannot be routed.
+        The request cannot be routed.
     """
     name, _, rest = raw_path.lstrip("/").partition("/")
     service = config.service(name)
@@ -80,12 +80,19 @@
 
 
 def request_key(service: Service, rest: str, query: str, headers: Mapping[str, str]) -> str:
-    """Read the key from where the service's sharing rule says.
+    """Read the key from the part of the request that the service's sharing rule names.
+
+    Parameters
+    ----------
+    rest
+        Percent-encoded path after the service's name.
+    headers
+        Headers by lower-case name.
 
     Raises
     ------
     MissingKey
-        There is none.
+        That part is missing or empty.
     """
     source, _, name = service.sharing.key_source.partition(":")
     key = ""
@@ -103,19 +110,24 @@
 
 
 def place_of_key(service: Service, key: str) -> KeyPlace:
-    """Find a key's place: the low bits of its position name the control group."""
+    """Return a key's position and its control group, selected by the position modulo their count."""
     position = key_position(key)
     count = max(service.sharing.control_groups, 1)
     return KeyPlace(keyed_group(service.name, position % count, count), position)
 
 
 def deadline_of(service: Service, header: str | None, now: Seconds) -> Seconds:
-    """Deadline on this node's clock: the caller's own if it names one, else the service's.
+    """Return the deadline on this node's clock: the caller's if it sends one, else the default.
+
+    Parameters
+    ----------
+    header
+        The caller's limit in milliseconds, or None if it sends none.
 
     Raises
     ------
     ValueError
-        The caller's is not a positive number of milliseconds.
+        The header is not a positive whole number of milliseconds.
     """
     allowed = service.limits.default_deadline_ms
     if header is not None:
--- a/tests/unit/test_planning.py
+++ b/tests/unit/test_planning.py
@@ -1,4 +1,4 @@
-"""Planning of owners: what must move moves, and nothing else."""
+"""Planning of owners: only slices that have to change owner are moved."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,12 +24,12 @@
     return slice_map_from(initial_assignment(BACKENDS, slices_per_backend))
 
 
-def test_the_first_assignment_is_even() -> None:
+def test_the_initial_assignment_is_even() -> None:
     slices = build()
     assert {slices.slice_count(item) for item in BACKENDS} == {10}
 
 
-def test_evacuation_moves_just_what_the_leaving_back_end_owns() -> None:
+def test_evacuation_moves_only_what_the_leaving_back_end_owns() -> None:
     slices = build()
     moves = plan_evacuation(slices, {}, {BACKENDS[0]}, BACKENDS[1:])
     assert {move.start for move in moves} == {item.start for item in slices.slices_of(BACKENDS[0])}
@@ -62,7 +62,7 @@
     assert plan_rebalance(slices, weights, BACKENDS, 100) == []
 
 
-def test_a_joined_back_end_gets_its_share() -> None:
+def test_a_new_back_end_gets_its_share() -> None:
     slices = build()
     joined = [*BACKENDS, BackendId("joined")]
     weights = slice_weights(slices, {}, len(joined))
@@ -84,8 +84,8 @@
     ]
 
 
-def test_a_key_that_stays_hot_does_not_keep_others_from_being_moved() -> None:
-    """Its slice stays heavy however often it is halved."""
+def test_a_key_that_stays_hot_does_not_prevent_moves_of_other_slices() -> None:
+    """The hot key's slice stays heavy however often it is halved, so moves must precede splits."""
     slices = build()
     first, second = slices.slices_of(BACKENDS[0])[:2]
     for _ in range(30):
@@ -98,7 +98,7 @@
     assert len(slices) <= 80
 
 
-def test_merging_keeps_owners_and_the_least_number_of_slices() -> None:
+def test_merging_keeps_owners_and_the_minimum_number_of_slices() -> None:
     slices = slice_map_from(change_of((index * 2**56, "a") for index in range(256)))
     weights = {item.start: 1.0 if item.start == 0 else 0.0 for item in slices}
     change = plan_merges(slices, weights, 1, minimum_slices=250, budget=100)
--- a/tests/unit/test_request_stateful.py
+++ b/tests/unit/test_request_stateful.py
@@ -1,4 +1,7 @@
-"""One request under drawn failures: never run twice, never a false promise."""
+"""One request under random failures: it runs at most once unless it is repeatable.
+
+It is reported as not run only if no back end has run it.
+"""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -14,7 +17,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """The host of one request core, with back ends that run what reaches them or not."""
+    """Drives one request core, with back ends that may or may not run what they receive."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,7 +57,7 @@
     @precondition(lambda self: isinstance(self.command, Attempt))
     @rule(phase=st.sampled_from(list(FailurePhase)), ran=st.booleans(), not_owner=st.booleans())
     def fail(self, phase: FailurePhase, ran: bool, not_owner: bool) -> None:
-        """The attempt fails; where it may have run, it did or did not."""
+        """Fail the attempt; if the back end may have run the request, `ran` says whether it did."""
         assert self.core is not None
         if phase not in SURELY_NOT_RUN and ran:
             self.executions += 1
@@ -62,7 +65,7 @@
         self.command = self.core.handle_failure(phase, self.now, refused)
 
     @invariant()
-    def promises_hold(self) -> None:
+    def reported_outcome_is_true(self) -> None:
         if self.method == "POST":
             assert self.executions <= 1
         if isinstance(self.command, Refuse):
@@ -71,7 +74,7 @@
             assert self.command.retry_after > 0
 
     @invariant()
-    def an_unrepeatable_request_that_may_have_run_is_over(self) -> None:
+    def an_unrepeatable_request_that_ran_is_refused(self) -> None:
         if self.method == "POST" and self.executions:
             assert isinstance(self.command, Refuse)
 
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing decisions: the failure table, keys, choice of back ends, one request's way."""
+"""Routing decisions: failure table, keys, choice of back ends, decisions for one request."""
 
 import itertools
 
@@ -28,7 +28,7 @@
     decide,
 )
 from limedeck.routing.request import (
-    RETRY_RESERVE,
+    MAX_RETRY_TOKENS,
     Attempt,
     RefusalReason,
     Refuse,
@@ -50,16 +50,16 @@
 
 @pytest.mark.parametrize("phase", FailurePhase)
 @pytest.mark.parametrize("history", HISTORIES, ids=str)
-def test_the_failure_table(phase: FailurePhase, history: AttemptHistory) -> None:
+def test_decisions_follow_the_failure_table(phase: FailurePhase, history: AttemptHistory) -> None:
     decision = decide(phase, history)
-    run_for_certain_not = phase in SURELY_NOT_RUN and not history.may_have_run
+    surely_not_run = phase in SURELY_NOT_RUN and not history.may_have_run
     if decision is Decision.ANSWER_NOT_RUN:
-        assert run_for_certain_not
+        assert surely_not_run
     if decision is Decision.RETRY:
         assert history.time_left and history.budget_left
         assert history.repeatable or phase in SURELY_NOT_RUN
     if not (history.time_left and history.budget_left):
-        expected = Decision.ANSWER_NOT_RUN if run_for_certain_not else Decision.ANSWER_UNKNOWN
+        expected = Decision.ANSWER_NOT_RUN if surely_not_run else Decision.ANSWER_UNKNOWN
         assert decision is expected
 
 
@@ -95,7 +95,7 @@
 
 
 class Router:
-    """A router's view, with a request that the test drives."""
+    """A router's state, and requests that are decided with it."""
 
     def __init__(self, limits: RoutingLimits | None = None) -> None:
         self.routes = RouteTable()
@@ -133,7 +133,7 @@
     assert refused == Refuse(Outcome.NOT_RUN, RefusalReason.NO_OWNER, 1.0)
 
 
-def test_not_owner_leads_to_the_new_owner_without_using_the_retry_budget() -> None:
+def test_a_not_owner_refusal_leads_to_the_new_owner_without_using_the_retry_budget() -> None:
     router = Router()
     router.route(1, "keyed-0")
     core = router.request("POST", "/keyed/parcels/7")
@@ -143,7 +143,7 @@
     assert attempt(core.next_command(0.11)) == "keyed-2"
 
 
-def test_the_same_owner_is_asked_again_after_a_pause() -> None:
+def test_the_same_owner_is_tried_again_after_a_delay() -> None:
     router = Router()
     router.route(1, "keyed-0")
     core = router.request("GET", "/keyed/parcels/7")
@@ -153,7 +153,7 @@
     assert attempt(core.next_command(command.until)) == "keyed-0"
 
 
-PHASES_OF_ONE_ATTEMPT = [
+FAILED_ATTEMPT_CASES = [
     ("GET", FailurePhase.NOT_CONNECTED, None),
     ("GET", FailurePhase.AWAITING, None),
     ("GET", FailurePhase.ANSWERING, None),
@@ -166,7 +166,7 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "phase", "outcome"), PHASES_OF_ONE_ATTEMPT)
+@pytest.mark.parametrize(("method", "phase", "outcome"), FAILED_ATTEMPT_CASES)
 def test_what_follows_a_failed_attempt(
     method: str, phase: FailurePhase, outcome: Outcome | None
 ) -> None:
@@ -179,7 +179,7 @@
         assert isinstance(command, Refuse) and command.outcome is outcome
 
 
-def test_a_request_that_may_have_run_is_never_called_not_run() -> None:
+def test_a_request_that_may_have_run_is_never_reported_as_not_run() -> None:
     core = Router().request("GET", "/shared/x", deadline=1.0)
     core.next_command(0.0)
     core.handle_failure(FailurePhase.AWAITING, 0.1)
@@ -198,10 +198,10 @@
             attempts += 1
             command = core.handle_failure(FailurePhase.REFUSED, 0.0)
         assert isinstance(command, Refuse | Wait)
-    assert attempts <= 1.1 * requests + RETRY_RESERVE
+    assert attempts <= 1.1 * requests + MAX_RETRY_TOKENS
 
 
-def test_a_second_failure_report_for_one_attempt_is_impossible() -> None:
+def test_a_failure_without_an_attempt_in_flight_violates_an_invariant() -> None:
     core = Router().request("POST", "/shared/x")
     with pytest.raises(InvariantViolation):
         core.handle_failure(FailurePhase.AWAITING, 0.1)
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize(("path", "query", "headers", "group"), KEY_CASES)
-def test_keys_are_found_where_the_rule_says(
+def test_keys_are_read_from_where_the_sharing_rule_says(
     path: str, query: str, headers: dict[str, str], group: str
 ) -> None:
     place = match_request(configuration(), "GET", path, query, headers).place
@@ -265,7 +265,7 @@
     assert chosen is not None and chosen.backend_id == "shared-2"
 
 
-def test_an_ejected_back_end_is_passed_over_until_none_is_left() -> None:
+def test_an_ejected_back_end_is_chosen_only_if_no_other_is_left() -> None:
     states = BackendStates()
     backends = configuration().backends_of("shared")
     for _ in range(FAILURES_TO_EJECT):
@@ -276,7 +276,7 @@
     assert only is not None and only.backend_id == "shared-0"
 
 
-def test_connections_are_shared_out_among_routers() -> None:
+def test_connections_are_divided_among_routers() -> None:
     states = BackendStates(router_count=40)
     assert states.connection_share(SHARED) == 2
     states.router_count = 1_000
@@ -285,7 +285,7 @@
     assert not states.has_room(SHARED, "shared-0")
 
 
-def test_draining_back_ends_get_no_new_work() -> None:
+def test_draining_back_ends_get_no_new_requests() -> None:
     backends = configuration().backends_of("shared")
     for item in backends:
         item.draining = True
--- a/tests/unit/test_slices.py
+++ b/tests/unit/test_slices.py
@@ -1,4 +1,4 @@
-"""The slice map, its deltas and the measures over it."""
+"""The slice map, its deltas, and measures of slice maps and ranges."""
 
 from itertools import pairwise
 
@@ -8,7 +8,7 @@
 
 from limedeck.api.peer_pb2 import AssignmentChange
 from limedeck.errors import InvariantViolation
-from limedeck.keyspace.hashing import KEY_LINE_END, even_cuts, key_position
+from limedeck.keyspace.hashing import KEY_LINE_END, equal_slice_starts, key_position
 from limedeck.keyspace.slices import RangeLookup, SliceMap, change_of, slice_map_from
 from limedeck.measures import UnavailableTime, churn, intersect, overlap, subtract, uncovered
 
@@ -24,7 +24,7 @@
 
 
 @given(MAPS, POSITIONS)
-def test_every_position_lies_in_the_slice_that_is_located(
+def test_the_located_slice_contains_the_position(
     owners: dict[int, str], position: int
 ) -> None:
     slices = slice_map_from(change_of(owners.items()))
@@ -35,7 +35,7 @@
 
 
 @given(MAPS)
-def test_slices_cover_the_line_without_gap_or_overlap(owners: dict[int, str]) -> None:
+def test_slices_cover_the_key_space_without_gap_or_overlap(owners: dict[int, str]) -> None:
     slices = slice_map_from(change_of(owners.items()))
     ranges = [(item.start, item.end) for item in slices]
     assert uncovered(ranges) == []
@@ -56,7 +56,7 @@
     }
 
 
-def test_a_delta_that_uncovers_the_start_of_the_line_is_refused() -> None:
+def test_a_delta_that_uncovers_the_start_of_the_key_space_is_refused() -> None:
     slices = slice_map_from(change_of([(0, "a"), (10, "b")]))
     with pytest.raises(InvariantViolation):
         slices.apply(AssignmentChange(removed_starts=[0]))
@@ -69,19 +69,19 @@
 
 @given(st.lists(st.tuples(POSITIONS, POSITIONS), max_size=8), POSITIONS)
 def test_range_lookup_agrees_with_a_scan(pairs: list[tuple[int, int]], position: int) -> None:
-    cuts = sorted({cut for pair in pairs for cut in pair})
-    ranges = list(zip(cuts[::2], cuts[1::2], strict=False))
+    boundaries = sorted({boundary for pair in pairs for boundary in pair})
+    ranges = list(zip(boundaries[::2], boundaries[1::2], strict=False))
     assert (position in RangeLookup(ranges)) == any(a <= position < b for a, b in ranges)
 
 
 @given(MAPS, MAPS)
-def test_churn_is_the_share_that_changed_owner(old: dict[int, str], new: dict[int, str]) -> None:
+def test_churn_is_the_fraction_that_changed_owner(old: dict[int, str], new: dict[int, str]) -> None:
     before = slice_map_from(change_of(old.items()))
     after = slice_map_from(change_of(new.items()))
-    cuts = sorted({*old, *new, KEY_LINE_END})
+    boundaries = sorted({*old, *new, KEY_LINE_END})
     moved = sum(
         end - start
-        for start, end in pairwise(cuts)
+        for start, end in pairwise(boundaries)
         if before.locate(start).owner != after.locate(start).owner
     )
     assert churn(before, after) == pytest.approx(moved / KEY_LINE_END)
@@ -94,7 +94,7 @@
     assert subtract(left, right) == [(0, 5), (25, 28), (45, 50)]
 
 
-def test_unserved_time_is_counted_for_each_part_of_the_line() -> None:
+def test_unserved_time_is_counted_for_each_part_of_the_key_space() -> None:
     watch = UnavailableTime()
     half, quarter = KEY_LINE_END // 2, KEY_LINE_END // 4
     watch.observe([(0, half)], 1.0)
@@ -105,5 +105,5 @@
     assert watch.open_since == {}
 
 
-def test_even_cuts_start_the_line() -> None:
-    assert even_cuts(4) == [0, KEY_LINE_END // 4, KEY_LINE_END // 2, 3 * KEY_LINE_END // 4]
+def test_equal_slice_starts_divide_the_key_space_evenly() -> None:
+    assert equal_slice_starts(4) == [0, KEY_LINE_END // 4, KEY_LINE_END // 2, 3 * KEY_LINE_END // 4]
