--- a/src/limedeck/routing/request.py
+++ b/src/limedeck/routing/request.py
@@ -255,8 +255,8 @@
     def _wait(self, now: Seconds, reason: RefusalReason) -> RequestCommand:
         if now >= self._wait_end:
             return self._refuse(reason)
-        pause = max(self._not_before - now, RETRY_DELAY)
-        return Wait(min(now + pause, self._wait_end))
+        delay = max(self._not_before - now, RETRY_DELAY)
+        return Wait(min(now + delay, self._wait_end))
 
     def _refuse(self, reason: RefusalReason) -> Refuse:
         outcome = Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
--- a/src/limedeck/routing/rules.py
+++ b/src/limedeck/routing/rules.py
@@ -110,7 +110,7 @@
 
 
 def place_of_key(service: Service, key: str) -> KeyPlace:
-    """Return a key's position and its control group, selected by the position modulo their count."""
+    """Return a key's position and its control group: the position modulo the number of groups."""
     position = key_position(key)
     count = max(service.sharing.control_groups, 1)
     return KeyPlace(keyed_group(service.name, position % count, count), position)
--- a/tests/unit/test_slices.py
+++ b/tests/unit/test_slices.py
@@ -24,9 +24,7 @@
 
 
 @given(MAPS, POSITIONS)
-def test_the_located_slice_contains_the_position(
-    owners: dict[int, str], position: int
-) -> None:
+def test_the_located_slice_contains_the_position(owners: dict[int, str], position: int) -> None:
     slices = slice_map_from(change_of(owners.items()))
     found = slices.locate(position)
     assert found.start <= position < found.end
