--- a/src/limedeck/forwarding/backend_state.py
+++ b/src/limedeck/forwarding/backend_state.py
@@ -36,9 +36,9 @@
 """Time since the last observed process exit until which exit cooldowns are extended while the store
 is unreachable, since no entry can change then. A back end that returned after 2 s and was cold for
 5 s more got 16 to 47 requests in a second where 14 are allowed, from five nodes whose cooldowns of
-`EXIT_COOLDOWN` were over (soak, seed 420021). Longer than the time for which back ends say that they
-are cold. A node cannot distinguish a back end that no longer needs the cooldown from one that would
-be overloaded."""
+`EXIT_COOLDOWN` were over (soak, seed 420021). Longer than the time for which back ends say that
+they are cold. A node cannot distinguish a back end that no longer needs the cooldown from one that
+would be overloaded."""
 MAX_EJECTION_TIME: Seconds = 4.0
 """About as long as crashed back ends are away; a longer ejection keeps a healthy one idle."""
 SLOWDOWN_DECAY_TIME: Seconds = 0.2
@@ -48,9 +48,9 @@
 """Weight of one response in a back end's mean slowdown, which varies by a factor of three; about 20
 responses give the mean."""
 KNOWN_FULL_FRACTION = 0.8
-"""Fraction of `full_load` from which a back end is assumed to be full: its reported load decays, and
-hundreds of requests may be on their way. With `LOAD_DECAY_TIME` it counts as full for 0.1 s after a
-report."""
+"""Fraction of `full_load` from which a back end is assumed to be full: its reported load decays,
+and hundreds of requests may be on their way. With `LOAD_DECAY_TIME` it counts as full for 0.1 s
+after a report."""
 MIN_FULL_LOAD_PER_SLOT = 2.0
 """Requests for each slot from which a rejection shows a full queue; with fewer, it is a failure."""
 ASSUMED_FULL_LOAD_PER_SLOT = 4.0
--- a/src/limedeck/ownership/fleet_load.py
+++ b/src/limedeck/ownership/fleet_load.py
@@ -13,10 +13,10 @@
 FRESH_TIME: Seconds = 1.0
 """Time since a node last reported a response for which a service time is taken unchanged."""
 DECAY_TIME: Seconds = 3.0
-"""Time constant by which, after `FRESH_TIME`, a service time decays to the mean of its service. Without
-the decay, a back end that was slow once got no requests and so counted as slow forever: an idle one
-of six got none of 60 requests per second for 8 s. With it, a slow back end gets a request every few
-seconds."""
+"""Time constant by which, after `FRESH_TIME`, a service time decays to the mean of its service.
+Without the decay, a back end that was slow once got no requests and so counted as slow forever: an
+idle one of six got none of 60 requests per second for 8 s. With it, a slow back end gets a request
+every few seconds."""
 MIN_WEIGHT = 1e-6
 """Least weight of a service time in the mean, so that there is a mean if all of them are old."""
 
