--- a/scripts/check_generated_api.sh
+++ b/scripts/check_generated_api.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when the committed modules differ from what the schemas generate.
+# Fails if the committed modules differ from those generated from the schemas.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 fresh="$(mktemp -d)"
--- a/scripts/generate_api.sh
+++ b/scripts/generate_api.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates the Python modules of proto/ into DIRECTORY (default: src).
+# Generates the Python modules for proto/ into the directory given as first argument (default: src).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 target="${1:-src}"
--- a/src/limedeck_lab/__init__.py
+++ b/src/limedeck_lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: stand-ins for the platform and for back ends, load, simulation and measurements."""
+"""Stand-ins for the platform and back ends, load generation, simulation and measurements."""
--- a/src/limedeck_lab/application.py
+++ b/src/limedeck_lab/application.py
@@ -1,4 +1,4 @@
-"""The lab's command: ``limedeck-lab``."""
+"""The command ``limedeck-lab``."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def build_application() -> Application:
-    """Build the lab's command line."""
+    """Build the command-line application ``limedeck-lab``."""
     application = Application("limedeck-lab", "0.1.0")
     for command in COMMANDS:
         application.add(command())
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Entry point of ``limedeck-lab``."""
     sys.exit(build_application().run())
 
 
--- a/src/limedeck_lab/bench_control.py
+++ b/src/limedeck_lab/bench_control.py
@@ -1,4 +1,4 @@
-"""What control costs real daemons on loopback, at several sizes, and the slopes between them."""
+"""Measures what control costs real daemons on loopback at several sizes, and fits slopes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from limedeck_lab.site import RequestKind, Site, SiteService
 
 SETTLING_SECONDS = 6.0
-MEASURED_SECONDS = 10.0
-TRAFFIC = re.compile(
+MEASUREMENT_SECONDS = 10.0
+CONTROL_BYTES_METRIC = re.compile(
     r'^limedeck_(?:peer|lease)_bytes_total\{direction="(?:sent|received)"\} (\S+)$', re.MULTILINE
 )
-LEADS = re.compile(r"^limedeck_leads_group\{[^}]*\} 1\.0$", re.MULTILINE)
+LEADERSHIP_METRIC = re.compile(r"^limedeck_leads_group\{[^}]*\} 1\.0$", re.MULTILINE)
 
 
 LOOKUP = RequestKind(name="lookup", service="keyed", method="GET", path="k/{key}", weight=1)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class BenchSize:
-    """A size to measure at."""
+    """Size of a deployment to measure."""
 
     nodes: int
     backends: int
@@ -37,14 +37,16 @@
 
 @dataclass(frozen=True)
 class NodeCost:
-    """What one daemon was seen to cost.
+    """Measured cost of one daemon.
 
     Parameters
     ----------
+    leads
+        Control groups that the daemon leads.
     resident_bytes
-        Of the whole process: interpreter, libraries and state.
+        Resident memory of the whole process: interpreter, libraries and state.
     bytes_per_second
-        Sent and received for control, lease exchanges with their HTTP headers included.
+        Sent and received for control, including the HTTP headers of lease exchanges.
     core_share
         Processor time as a fraction of one core.
     """
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True)
 class SizeCost:
-    """Costs at one size: the mean over nodes that lead nothing, and the mean over leaders."""
+    """Mean costs at one size, of the nodes that lead no control group and of the leaders."""
 
     size: BenchSize
     follower: NodeCost
@@ -69,7 +71,7 @@
 
 
 def bench_site(size: BenchSize) -> Site:
-    """A site of one keyed service at a size, nodes in up to three zones."""
+    """Build a site of this size: one keyed service, nodes in three zones."""
     zones = ["a", "b", "c"]
     return Site(
         name="bench",
@@ -99,13 +101,13 @@
 
 
 def measure_size(size: BenchSize) -> SizeCost:
-    """Run a site at a size without callers and measure each node for some seconds."""
+    """Run a site of this size without callers and measure each node."""
     with running_cluster(bench_site(size)) as cluster:
-        revision = cluster.apply_whole()
+        revision = cluster.create_objects_at_once()
         wait_until(lambda: cluster.serves_everywhere(revision), "every key has an owner", 120.0)
         time.sleep(SETTLING_SECONDS)
         before = [_sample(cluster, item) for item in cluster.addresses]
-        time.sleep(MEASURED_SECONDS)
+        time.sleep(MEASUREMENT_SECONDS)
         after = [_sample(cluster, item) for item in cluster.addresses]
     costs = [_cost(first, last) for first, last in zip(before, after, strict=True)]
     leaders = [cost for cost in costs if cost.leads]
@@ -115,9 +117,9 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """One look at a process."""
+    """Measurements of one process at one time."""
 
-    at: float
+    taken_at: float
     processor_seconds: float
     resident_bytes: int
     control_bytes: float
@@ -130,21 +132,21 @@
         f"http://{addresses.admin}/metrics", trust_env=False, verify=False, timeout=10.0
     ).text
     return Sample(
-        at=time.monotonic(),
+        taken_at=time.monotonic(),
         processor_seconds=processor_seconds(process_id),
         resident_bytes=resident_bytes(process_id),
-        control_bytes=sum(float(value) for value in TRAFFIC.findall(metrics)),
-        leads=len(LEADS.findall(metrics)),
+        control_bytes=sum(float(value) for value in CONTROL_BYTES_METRIC.findall(metrics)),
+        leads=len(LEADERSHIP_METRIC.findall(metrics)),
     )
 
 
 def _cost(first: Sample, last: Sample) -> NodeCost:
-    span = last.at - first.at
+    elapsed = last.taken_at - first.taken_at
     return NodeCost(
         leads=last.leads,
         resident_bytes=last.resident_bytes,
-        bytes_per_second=(last.control_bytes - first.control_bytes) / span,
-        core_share=(last.processor_seconds - first.processor_seconds) / span,
+        bytes_per_second=(last.control_bytes - first.control_bytes) / elapsed,
+        core_share=(last.processor_seconds - first.processor_seconds) / elapsed,
     )
 
 
@@ -159,13 +161,13 @@
 
 
 def slope(xs: Sequence[float], ys: Sequence[float]) -> dict[str, float]:
-    """Least-squares line through the points."""
+    """Fit a least-squares line through the points."""
     per_unit, at_zero = numpy.polyfit(xs, ys, 1)
     return {"at_zero": float(at_zero), "per_unit": float(per_unit)}
 
 
 def slopes(costs: Sequence[SizeCost], xs: Sequence[float]) -> dict[str, dict[str, float]]:
-    """Slopes of every cost over one dimension of the size."""
+    """Fit the slope of every cost over one dimension of the size."""
     found = {}
     for role in ("follower", "leader"):
         nodes: list[NodeCost] = [getattr(cost, role) for cost in costs]
@@ -182,7 +184,7 @@
 
 
 def series_values(name: str, sizes: Sequence[BenchSize]) -> list[float]:
-    """The dimension that a series varies."""
+    """The values of the dimension that a series varies."""
     if name == "nodes":
         return [size.nodes for size in sizes]
     if name == "backends":
--- a/src/limedeck_lab/bench_router.py
+++ b/src/limedeck_lab/bench_router.py
@@ -1,4 +1,4 @@
-"""What one router process does, against the stand-in back end asked directly, in one run."""
+"""Measures one router process against direct requests to the stand-in back end, in one run."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from limedeck_lab.statistics import percentile
 
 CONCURRENCY = 16
-MEASURED_SECONDS = 6.0
+MEASUREMENT_SECONDS = 6.0
 CLIENTS = ("httpx", "aiohttp")
 
 
 @dataclass(frozen=True)
 class PathRate:
-    """What was measured of one path.
+    """Throughput and latency measured on one path.
 
     Parameters
     ----------
     requests_per_second
         With `CONCURRENCY` requests in flight all the time.
     ratio
-        Of the stand-in's own rate.
+        `requests_per_second` relative to that of direct requests to the stand-in.
     processor_ms
-        Of the router process for each request.
+        Processor time of the router process for each request.
     half_rate_p50_ms, half_rate_p99_ms
         Latency at half of `requests_per_second`.
     """
@@ -68,12 +68,12 @@
 )
 
 
-async def full_rate(urls: Sequence[str], seconds: float) -> float:
-    """Requests a second with a fixed number in flight."""
+async def measure_throughput(urls: Sequence[str], seconds: float) -> float:
+    """Measure requests per second with `CONCURRENCY` requests in flight."""
     done = 0
     end = time.monotonic() + seconds
 
-    async def send_on(session: aiohttp.ClientSession, url: str) -> None:
+    async def send_repeatedly(session: aiohttp.ClientSession, url: str) -> None:
         nonlocal done
         while time.monotonic() < end:
             async with session.get(url, raise_for_status=True) as response:
@@ -82,30 +82,30 @@
 
     async with aiohttp.ClientSession() as session, anyio.create_task_group() as tasks:
         for number in range(CONCURRENCY):
-            tasks.start_soon(send_on, session, urls[number % len(urls)])
+            tasks.start_soon(send_repeatedly, session, urls[number % len(urls)])
     return done / seconds
 
 
-async def latencies_at(urls: Sequence[str], rate: float, seconds: float) -> list[float]:
-    """Latencies in seconds, in order, with requests sent at a fixed rate whatever comes back."""
-    found: list[float] = []
+async def measure_latencies(urls: Sequence[str], rate: float, seconds: float) -> list[float]:
+    """Measure latencies at a fixed request rate (open loop); return them in seconds, ascending."""
+    latencies: list[float] = []
 
     async def send(session: aiohttp.ClientSession, url: str) -> None:
         started = time.perf_counter()
         async with session.get(url, raise_for_status=True) as response:
             await response.read()
-        found.append(time.perf_counter() - started)
+        latencies.append(time.perf_counter() - started)
 
     async with aiohttp.ClientSession() as session, anyio.create_task_group() as tasks:
         begin = time.monotonic()
         for number in range(int(rate * seconds)):
             await anyio.sleep(max(begin + number / rate - time.monotonic(), 0))
             tasks.start_soon(send, session, urls[number % len(urls)])
-    return sorted(found)
+    return sorted(latencies)
 
 
 def measure_paths() -> list[PathRate]:
-    """Measure the stand-in directly, then one router with each client library."""
+    """Measure direct requests to the stand-in, then one router with each client library."""
     results: list[PathRate] = []
     direct_rate = 0.0
     for client in CLIENTS:
@@ -123,16 +123,16 @@
 
 
 def _measure(path: str, urls: Sequence[str], process_id: int, direct_rate: float) -> PathRate:
-    anyio.run(full_rate, urls, 1.0)
+    anyio.run(measure_throughput, urls, 1.0)
     before = processor_seconds(process_id) if process_id else 0.0
-    rate = anyio.run(full_rate, urls, MEASURED_SECONDS)
+    rate = anyio.run(measure_throughput, urls, MEASUREMENT_SECONDS)
     after = processor_seconds(process_id) if process_id else 0.0
-    latencies = anyio.run(latencies_at, urls, rate / 2, MEASURED_SECONDS)
+    latencies = anyio.run(measure_latencies, urls, rate / 2, MEASUREMENT_SECONDS)
     return PathRate(
         path=path,
         requests_per_second=round(rate, 1),
         ratio=round(rate / direct_rate, 3) if direct_rate else 1.0,
-        processor_ms=round(1000 * (after - before) / (rate * MEASURED_SECONDS), 3),
+        processor_ms=round(1000 * (after - before) / (rate * MEASUREMENT_SECONDS), 3),
         half_rate_p50_ms=round(percentile(latencies, 0.5) * 1000, 2),
         half_rate_p99_ms=round(percentile(latencies, 0.99) * 1000, 2),
     )
--- a/src/limedeck_lab/cluster.py
+++ b/src/limedeck_lab/cluster.py
@@ -28,12 +28,12 @@
 
 HOST = "127.0.0.1"
 NODE_NETWORK = "127.0.1"
-READY_TIMEOUT = 60.0
+READY_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class NodeAddresses:
-    """Where one node is reached."""
+    """Addresses of one node."""
 
     node_id: str
     zone: str
@@ -50,9 +50,11 @@
     Parameters
     ----------
     site
-        The deployment at its size.
+        The deployment to run.
     directory
-        For settings files and logs of the run.
+        Directory for settings files and logs of the run.
+    overrides
+        TOML text that is appended to the settings of each node.
     """
 
     def __init__(self, site: Site, directory: Path, overrides: str = "") -> None:
@@ -73,7 +75,7 @@
             for number in range(1, self.site.nodes_per_zone + 1)
         ]
         ports = iter(free_ports(5 * len(names)))
-        # Each node has an IP number of its own, so that a cut knows who connects.
+        # Each node has an IP address of its own, so that the network can tell who connects.
         return [
             NodeAddresses(
                 node_id=node_id,
@@ -92,10 +94,10 @@
         self.first_backend_port = free_port_range(count)
         return self.site.backend_objects(HOST, self.first_backend_port)
 
-    # ------------------------------------------------------------------ starting
+    # ------------------------------------------------------------------ start
 
     def start_platform(self, calls_per_second: float = 0.0) -> ManagedProcess:
-        """Start the platform and tell it the machines."""
+        """Start the platform stand-in and set its machine list."""
         address = f"{HOST}:{free_ports(1)[0]}"
         self.platform_url = f"http://{address}"
         process = self.processes.start(
@@ -103,7 +105,7 @@
             "limedeck_lab.application",
             ["platform", "--address", address, "--rate", str(calls_per_second)],
         )
-        wait_until(lambda: answers(f"{self.platform_url}/machines/v1"), "the platform answers")
+        wait_until(lambda: answers(f"{self.platform_url}/machines/v1"), "the platform responds")
         self.set_machines([item.node_id for item in self.addresses])
         return process
 
@@ -120,7 +122,7 @@
         ).raise_for_status()
 
     def set_platform_faults(self, **faults: object) -> None:
-        """Switch the platform's faults."""
+        """Set the faults of the platform stand-in."""
         url = f"{self.platform_url}/lab/v1/faults"
         _put(url, faults)
 
@@ -133,7 +135,7 @@
             name, "limedeck_lab.application", ["backend", "--specifications", str(file)]
         )
         last = specifications[-1].address
-        wait_until(lambda: answers(f"http://{last}/limedeck/v1/health"), "back ends answer")
+        wait_until(lambda: answers(f"http://{last}/limedeck/v1/health"), "back ends respond")
         return process
 
     def start_node(self, addresses: NodeAddresses) -> ManagedProcess:
@@ -147,7 +149,7 @@
         return process
 
     def start(self) -> None:
-        """Start everything and wait until each node answers."""
+        """Start all processes and wait until each node responds."""
         self.start_platform()
         self.start_backends()
         self.network.start({item.peer: item.peer_listen for item in self.addresses})
@@ -157,7 +159,7 @@
             url = f"http://{addresses.admin}/healthz"
             node = self.nodes[addresses.node_id]
             try:
-                wait_until(lambda url=url: answers(url), "nodes answer", READY_TIMEOUT)  # type: ignore[misc]
+                wait_until(lambda url=url: answers(url), "nodes respond", READY_TIMEOUT_SECONDS)  # type: ignore[misc]
             except ConditionNotMet as error:
                 raise ConditionNotMet(f"{error}: {node.describe()}") from error
 
@@ -182,7 +184,7 @@
 {self._overrides}
 """
 
-    # ------------------------------------------------------------------ operating
+    # ------------------------------------------------------------------ operation
 
     def client(self, index: int = 0) -> OperatorClient:
         """Connect to a node's operator service."""
@@ -198,8 +200,8 @@
         client.close()
         return revision
 
-    def apply_whole(self) -> int:
-        """Create all objects in one change; return its revision."""
+    def create_objects_at_once(self) -> int:
+        """Create all services and back ends in one change; return its revision."""
         client = self.client()
         reply = client.apply_config(self.site.service_objects(), self.backends, 0)
         client.close()
@@ -222,7 +224,7 @@
             wait_until(
                 lambda client=client: self._serves(client, revision),  # type: ignore[misc]
                 f"node {self.addresses[index].node_id} serves revision {revision}",
-                READY_TIMEOUT,
+                READY_TIMEOUT_SECONDS,
             )
             client.close()
 
@@ -240,13 +242,13 @@
         return status.config_revision >= revision and len(owned) == keyed
 
     def stop_node(self, node_id: str) -> int:
-        """Stop a node as planned; return its exit code."""
+        """Stop a node gracefully with SIGTERM; return its exit code."""
         process = self.nodes[node_id]
         process.signal(signal.SIGTERM)
         return process.wait()
 
     def executions(self) -> dict[str, int]:
-        """How often each unrepeatable request was run, over all back ends."""
+        """Number of executions of each non-repeatable request, summed over all back ends."""
         totals: dict[str, int] = {}
         for backend in self.backends:
             url = f"http://{backend.address}/lab/v1/executions"
@@ -255,13 +257,13 @@
         return totals
 
     def set_backend_faults(self, backend_id: str, **faults: object) -> None:
-        """Switch a back end's faults."""
+        """Set the faults of a back end."""
         address = next(item.address for item in self.backends if item.backend_id == backend_id)
         url = f"http://{address}/lab/v1/faults"
         _put(url, faults)
 
     def end(self) -> None:
-        """End all processes."""
+        """End all processes and close the network."""
         self.processes.end_all()
         self.network.stop()
 
@@ -277,7 +279,7 @@
 
 @contextmanager
 def running_cluster(site: Site, overrides: str = "") -> Iterator[Cluster]:
-    """Run a whole system for as long as the context lasts."""
+    """Run a whole system until the context ends."""
     with TemporaryDirectory(prefix="limedeck-") as directory:
         cluster = Cluster(site, Path(directory), overrides)
         try:
--- a/src/limedeck_lab/cuttable_network.py
+++ b/src/limedeck_lab/cuttable_network.py
@@ -1,4 +1,4 @@
-"""Connections between real nodes that pass through this process, so that it can cut them."""
+"""Forwards connections between real nodes through this process, which can cut them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from limedeck.daemon.peers import split_address
 
-PART_BYTES = 65_536
+MAX_CHUNK_BYTES = 65_536
 
 
 class CuttableNetwork:
-    """Forwards from each node's announced address to where it listens.
+    """Forwards connections from each node's announced address to its listening address.
 
-    A node connects from an IP number of its own, which tells who is at the other end.
+    Each node connects from an IP address of its own, which identifies it to the network.
     """
 
     def __init__(self) -> None:
@@ -25,10 +25,10 @@
         self._portal: BlockingPortal | None = None
         self._cut_addresses: set[str] = set()
         self._cut_hosts: set[str] = set()
-        self._open: dict[anyio.CancelScope, tuple[str, str]] = {}
+        self._open_connections: dict[anyio.CancelScope, tuple[str, str]] = {}
 
     def start(self, targets: Mapping[str, str]) -> None:
-        """Begin to forward.
+        """Start forwarding.
 
         Parameters
         ----------
@@ -41,7 +41,7 @@
             self._portal.start_task(self._forward, announced, listening)
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close all connections and stop forwarding."""
         if self._portal is None or self._context is None:
             return
         self._portal.call(self._portal.stop, True)
@@ -49,22 +49,22 @@
         self._portal = None
 
     def cut(self, announced: str, host: str) -> None:
-        """Cut a node off: connections to its address and from its IP number."""
+        """Close and refuse connections to a node's announced address and from its IP address."""
         self._cut_addresses.add(announced)
         self._cut_hosts.add(host)
         if self._portal is not None:
-            self._portal.call(self._end_cut_connections)
+            self._portal.call(self._close_cut_connections)
 
     def heal(self) -> None:
-        """Let all connections be made again."""
+        """Accept all connections again."""
         self._cut_addresses.clear()
         self._cut_hosts.clear()
 
     def _is_cut(self, announced: str, source_host: str) -> bool:
         return announced in self._cut_addresses or source_host in self._cut_hosts
 
-    def _end_cut_connections(self) -> None:
-        for scope, (announced, source_host) in list(self._open.items()):
+    def _close_cut_connections(self) -> None:
+        for scope, (announced, source_host) in list(self._open_connections.items()):
             if self._is_cut(announced, source_host):
                 scope.cancel()
 
@@ -92,20 +92,20 @@
         except OSError:
             return
         async with target, anyio.create_task_group() as tasks:
-            self._open[tasks.cancel_scope] = (announced, source_host)
+            self._open_connections[tasks.cancel_scope] = (announced, source_host)
             try:
                 tasks.start_soon(_copy, stream, target, tasks.cancel_scope)
                 await _copy(target, stream, tasks.cancel_scope)
             finally:
-                del self._open[tasks.cancel_scope]
+                del self._open_connections[tasks.cancel_scope]
 
 
 async def _copy(
     source: ByteReceiveStream, target: ByteSendStream, scope: anyio.CancelScope
 ) -> None:
-    """Copy until either end closes; then end the other direction too."""
+    """Copy until either end closes, then cancel the other direction too."""
     try:
         while True:
-            await target.send(await source.receive(PART_BYTES))
+            await target.send(await source.receive(MAX_CHUNK_BYTES))
     except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
         scope.cancel()
--- a/src/limedeck_lab/demo.py
+++ b/src/limedeck_lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole site in separate processes, with planned stops under load."""
+"""Demonstration: a whole site in separate processes, with graceful stops under load."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 SEED = 2026
 
 
-async def run_demo(cluster: Cluster, count: int, say: Callable[[str], object]) -> LoadResult:
-    """Create the site's objects, send requests, drain a back end and stop a node meanwhile."""
+async def run_demo(cluster: Cluster, count: int, report: Callable[[str], object]) -> LoadResult:
+    """Create the site's objects and send requests; meanwhile drain a back end and stop a node."""
     revision = await anyio.to_thread.run_sync(cluster.create_objects)
     await anyio.to_thread.run_sync(cluster.wait_until_serving, revision)
-    say(f"revision {revision} is in force and every key has an owner")
+    report(f"revision {revision} is in force and every key has an owner")
     generator = LoadGenerator([item.caller for item in cluster.addresses], CONCURRENCY)
     requests = plan_requests(cluster.site, count, SEED)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_disturb, cluster, generator, count, say)
+        tasks.start_soon(_drain_and_stop, cluster, generator, count, report)
         await generator.run(requests)
     generator.result.compare_with_executions(cluster.executions())
     return generator.result
 
 
-async def _disturb(
-    cluster: Cluster, generator: LoadGenerator, count: int, say: Callable[[str], object]
+async def _drain_and_stop(
+    cluster: Cluster, generator: LoadGenerator, count: int, report: Callable[[str], object]
 ) -> None:
     await generator.wait_for_sent(count // 4)
     drained = cluster.backends[0].backend_id
     await anyio.to_thread.run_sync(_drain, cluster, drained)
-    say(f"drained {drained} after {generator.result.sent} requests")
+    report(f"drained {drained} after {generator.result.sent} requests")
     await generator.wait_for_sent(count // 2)
     stopped = cluster.addresses[0].node_id
     code = await anyio.to_thread.run_sync(cluster.stop_node, stopped)
-    say(f"stopped {stopped} (exit code {code}) after {generator.result.sent} requests")
+    report(f"stopped {stopped} (exit code {code}) after {generator.result.sent} requests")
 
 
 def _drain(cluster: Cluster, backend_id: str) -> None:
     client = cluster.client(1)
-    held = next(
+    listed = next(
         item for item in client.list_backends().objects if item.backend.backend_id == backend_id
     )
-    client.drain_backend(backend_id, held.revision)
+    client.drain_backend(backend_id, listed.revision)
     client.close()
--- a/src/limedeck_lab/experiment_balance.py
+++ b/src/limedeck_lab/experiment_balance.py
@@ -1,8 +1,8 @@
-"""Balance and churn of limedeck's planner, beside modulo and consistent hashing, on one trace.
+"""Compares balance and churn of limedeck's planner, modulo and consistent hashing on one trace.
 
-The trace: keys with rates that fall as 1/rank; every so often other keys become the hottest. Then
-a back end joins, then one is lost. Loads are what back ends would report: counts of a window, with
-the chance that counts have.
+The trace consists of keys whose rates follow a power law of their rank. First other keys become the
+hottest, then a back end joins, then one is lost. The planner gets loads as back ends would report
+them: request counts of a window, with Poisson noise.
 """
 
 from __future__ import annotations
@@ -26,31 +26,33 @@
 from limedeck.measures import churn, max_over_mean
 from limedeck_lab.standins.backend import LOAD_WINDOW
 
-RING_POINTS = 100
+POINTS_PER_BACKEND = 100
 """Points of each back end on the ring of consistent hashing."""
 PHASE_SECONDS = 60.0
-SETTLED_AFTER = 30.0
-"""Balance must be reached so long after a change of the hot keys."""
-KEYS = 20_000
-RATE = 7_000.0
-"""Requests a second over all keys."""
+SETTLING_SECONDS = 30.0
+"""Time within which balance must be reached after a phase begins."""
+KEY_COUNT = 20_000
+REQUESTS_PER_SECOND = 7_000.0
+"""Total over all keys."""
 SKEW = 0.9
 """Rate of the key of rank r is proportional to 1 / r ** SKEW."""
 
 
 @dataclass(frozen=True)
 class PhaseResult:
-    """One way in one phase.
+    """Result of one strategy in one phase.
 
     Parameters
     ----------
     imbalance_at_once, imbalance_settled
-        Highest over mean load right after the phase began, and the worst from `SETTLED_AFTER` on.
+        Maximum over mean load right after the phase began, and the highest such ratio from
+        `SETTLING_SECONDS` on.
     floor
-        What the hottest single key forces: its rate over the mean load, at least 1.
+        Lower bound of the imbalance, set by the hottest key: its rate over the mean load, at
+        least 1.
     moved, least_moved
-        Share of the key line that changed owner in the phase, and the least a join or a loss
-        needs; zero where nothing need move.
+        Fraction of the key space that changed owner in the phase (of the keys, with modulo), and
+        the least fraction that the join or loss requires; zero in the other phases.
     """
 
     way: str
@@ -68,7 +70,7 @@
 
 @dataclass
 class Trace:
-    """Keys with their positions and present rates."""
+    """Positions and current rates of all keys."""
 
     positions: list[int]
     rates: list[float]
@@ -81,17 +83,17 @@
         return loads
 
 
-class Way:
-    """A way to assign keys to back ends."""
+class Strategy:
+    """A strategy that assigns keys to back ends."""
 
     name: str
 
-    def begin(self, backends: list[BackendId]) -> None:
-        """Take up a changed set of back ends."""
+    def set_backends(self, backends: list[BackendId]) -> None:
+        """Assign the keys to this set of back ends."""
         raise NotImplementedError
 
-    def look(self, trace: Trace, now: float) -> None:
-        """Adapt to the load, if this way does."""
+    def rebalance(self, trace: Trace, now: float) -> None:
+        """Adapt the assignment to the load, if the strategy does so."""
 
     def owners(self, trace: Trace) -> list[str]:
         """Owner of each key."""
@@ -102,28 +104,28 @@
         raise NotImplementedError
 
 
-class Modulo(Way):
+class Modulo(Strategy):
     """Position modulo the number of back ends."""
 
     name = "modulo"
 
-    def begin(self, backends: list[BackendId]) -> None:
+    def set_backends(self, backends: list[BackendId]) -> None:
         self._backends = backends
 
     def owners(self, trace: Trace) -> list[str]:
         return [self._backends[position % len(self._backends)] for position in trace.positions]
 
 
-class ConsistentHashing(Way):
-    """A ring with some points for each back end."""
+class ConsistentHashing(Strategy):
+    """A ring with `POINTS_PER_BACKEND` points for each back end."""
 
     name = "consistent hashing"
 
-    def begin(self, backends: list[BackendId]) -> None:
+    def set_backends(self, backends: list[BackendId]) -> None:
         points = {
             key_position(f"{backend}/{number}"): backend
             for backend in backends
-            for number in range(RING_POINTS)
+            for number in range(POINTS_PER_BACKEND)
         }
         self._points = sorted(points)
         self._owners = [points[point] for point in self._points]
@@ -136,8 +138,8 @@
         return slice_map_from(change_of([(0, last), *zip(self._points, self._owners, strict=True)]))
 
 
-class Planner(Way):
-    """The product's planner on measured loads."""
+class Planner(Strategy):
+    """limedeck's planner, with measured loads."""
 
     name = "limedeck"
 
@@ -146,10 +148,10 @@
         self._slices_per_backend = slices_per_backend
         self._limits = ControlLimits()
         self._budget = MoveBudget()
-        self._draw = numpy.random.default_rng(seed)
+        self._rng = numpy.random.default_rng(seed)
         self._backends: list[BackendId] = []
 
-    def begin(self, backends: list[BackendId]) -> None:
+    def set_backends(self, backends: list[BackendId]) -> None:
         self._backends = backends
         if len(self._slices) == 0:
             self._slices = slice_map_from(initial_assignment(backends, self._slices_per_backend))
@@ -164,7 +166,7 @@
     def map(self) -> SliceMap:
         return self._slices.copy()
 
-    def look(self, trace: Trace, now: float) -> None:
+    def rebalance(self, trace: Trace, now: float) -> None:
         self._budget.refill(self._limits, now)
         allowed = min(self._limits.concurrent_moves, int(self._budget.tokens))
         minimum = len(self._backends) * self._slices_per_backend
@@ -179,84 +181,86 @@
         for position, rate in zip(trace.positions, trace.rates, strict=True):
             start = self._slices.locate(position).start
             rates[start] = rates.get(start, 0.0) + rate
-        counts = self._draw.poisson([rate * LOAD_WINDOW for rate in rates.values()])
+        counts = self._rng.poisson([rate * LOAD_WINDOW for rate in rates.values()])
         return {
             start: float(count) / LOAD_WINDOW for start, count in zip(rates, counts, strict=True)
         }
 
 
 def make_trace(seed: int) -> Trace:
-    """Draw keys and give them their first rates."""
-    positions = [key_position(f"key-{seed}-{number}") for number in range(KEYS)]
-    weights = [1.0 / (rank + 1) ** SKEW for rank in range(KEYS)]
+    """Create keys with their initial rates."""
+    positions = [key_position(f"key-{seed}-{number}") for number in range(KEY_COUNT)]
+    weights = [1.0 / (rank + 1) ** SKEW for rank in range(KEY_COUNT)]
     total = sum(weights)
-    return Trace(positions, [RATE * weight / total for weight in weights])
+    return Trace(positions, [REQUESTS_PER_SECOND * weight / total for weight in weights])
 
 
 def run_experiment(backend_count: int, slices_per_backend: int, seed: int) -> list[PhaseResult]:
-    """Run every way through hot keys, other hot keys, a join and a loss."""
+    """Run every strategy through hot keys, other hot keys, a join and a loss."""
     results: list[PhaseResult] = []
-    for way in (Modulo(), ConsistentHashing(), Planner(slices_per_backend, seed)):
-        results += _run_way(way, backend_count, seed)
+    for strategy in (Modulo(), ConsistentHashing(), Planner(slices_per_backend, seed)):
+        results += _run_strategy(strategy, backend_count, seed)
     return results
 
 
-def _run_way(way: Way, backend_count: int, seed: int) -> list[PhaseResult]:
+def _run_strategy(strategy: Strategy, backend_count: int, seed: int) -> list[PhaseResult]:
     trace = make_trace(seed)
-    draw = numpy.random.default_rng(seed)
+    rng = numpy.random.default_rng(seed)
     backends = [BackendId(f"backend-{number:02d}") for number in range(backend_count)]
-    way.begin(backends)
+    strategy.set_backends(backends)
     now = 0.0
     results = []
     for phase in ("hot keys", "other hot keys", "join", "loss"):
-        before = way.owners(trace)
-        map_before = None if isinstance(way, Modulo) else way.map()
+        before = strategy.owners(trace)
+        map_before = None if isinstance(strategy, Modulo) else strategy.map()
         least = 0.0
         if phase == "other hot keys":
-            trace.rates = [float(rate) for rate in draw.permutation(trace.rates)]
+            trace.rates = [float(rate) for rate in rng.permutation(trace.rates)]
         elif phase == "join":
             backends = [*backends, BackendId("joined")]
             least = 1 / len(backends)
         elif phase == "loss":
-            least = _share_of(way, before, backends[0], map_before)
+            least = _share_owned(strategy, before, backends[0], map_before)
             backends = backends[1:]
         if phase in ("join", "loss"):
-            way.begin(backends)
+            strategy.set_backends(backends)
         imbalances = []
         end = now + PHASE_SECONDS
         while now < end:
-            imbalances.append(_imbalance(way, trace, backends))
-            way.look(trace, now)
+            imbalances.append(_imbalance(strategy, trace, backends))
+            strategy.rebalance(trace, now)
             now += ControlTiming().rebalance_interval
-        settled = imbalances[int(SETTLED_AFTER / ControlTiming().rebalance_interval) :]
+        settled = imbalances[int(SETTLING_SECONDS / ControlTiming().rebalance_interval) :]
         mean = sum(trace.rates) / len(backends)
         results.append(
             PhaseResult(
-                way=way.name,
+                way=strategy.name,
                 phase=phase,
                 imbalance_at_once=round(imbalances[0], 3),
                 imbalance_settled=round(max(settled), 3),
                 floor=round(max(max(trace.rates) / mean, 1.0), 3),
-                moved=round(_moved(way, before, trace, map_before), 4),
+                moved=round(_moved(strategy, before, trace, map_before), 4),
                 least_moved=round(least, 4),
             )
         )
     return results
 
 
-def _imbalance(way: Way, trace: Trace, backends: list[BackendId]) -> float:
-    return max_over_mean(trace.loads(way.owners(trace), backends).values())
+def _imbalance(strategy: Strategy, trace: Trace, backends: list[BackendId]) -> float:
+    return max_over_mean(trace.loads(strategy.owners(trace), backends).values())
 
 
-def _moved(way: Way, before: list[str], trace: Trace, map_before: SliceMap | None) -> float:
+def _moved(
+    strategy: Strategy, before: list[str], trace: Trace, map_before: SliceMap | None
+) -> float:
     if map_before is not None:
-        return churn(map_before, way.map())
-    after = way.owners(trace)
+        return churn(map_before, strategy.map())
+    after = strategy.owners(trace)
     return sum(old != new for old, new in zip(before, after, strict=True)) / len(before)
 
 
-def _share_of(
-    way: Way, owners: list[str], backend: BackendId, map_before: SliceMap | None
+def _share_owned(
+    strategy: Strategy, owners: list[str], backend: BackendId, map_before: SliceMap | None
 ) -> float:
     if map_before is None:
         return owners.count(backend) / len(owners)
--- a/src/limedeck_lab/experiment_choice.py
+++ b/src/limedeck_lab/experiment_choice.py
@@ -1,8 +1,9 @@
-"""How evenly many nodes use the back ends of one service, with the product's own choice.
+"""Simulates how evenly many nodes use the back ends of one service with limedeck's choice.
 
-Each node has the product's `BackendDirectory`, the leader has its `FleetLoad`; only time, callers
-and back ends are simulated. Back ends differ in speed, work on a few requests at once, queue some
-and turn the rest away. All times are in seconds; equal seeds give equal results.
+Each node has limedeck's `BackendDirectory`, and the leader its `FleetLoad`; only time, callers and
+back ends are simulated. Back ends differ in speed, process `SLOTS` requests at once, queue up to
+`MAX_QUEUE_LENGTH` more and reject the rest. All times are in seconds; equal seeds give equal
+results.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 ROUTE = "r"
 ZONES = 5
 SLOTS = 2
-"""Requests that a back end works on at once."""
-QUEUE = 8
-"""Requests that wait at a back end; one more is turned away."""
+"""Requests that a back end processes at once."""
+MAX_QUEUE_LENGTH = 8
+"""Requests that wait at a back end; any more are rejected."""
 SPEEDS = (0.5, 1.0, 1.0, 1.5)
-"""Speeds of back ends, in turn, relative to each other."""
+"""Relative speeds, assigned to the back ends in turn."""
 WORK_SIGMA = 0.8
-"""Spread of the lognormal work of one request; its mean is the wanted work."""
+"""Sigma of the lognormal work of a request; its mean is `Fleet.work`."""
 DURATION: Seconds = 20.0
 
 Steps = Generator[simpy.Event, None, None]
@@ -52,16 +53,16 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """What is simulated.
+    """Fleet and load to simulate.
 
     Parameters
     ----------
     rate
-        Requests a second, of all nodes together.
+        Requests per second, of all nodes together.
     work
-        Mean time to work on one request, in seconds, at speed 1.
+        Mean time to process one request at speed 1, in seconds.
     telling_interval
-        Between two messages of the leader with the sums of all nodes, in seconds; None: no leader.
+        Interval at which the leader sends the sums over all nodes, in seconds; None: no leader.
     """
 
     nodes: int
@@ -74,18 +75,18 @@
 
 @dataclass(frozen=True)
 class ChoiceResult:
-    """What one run, or the mean of several, showed.
+    """Result of one run, or mean of several.
 
     Parameters
     ----------
     busiest_to_mean
-        Most requests that one back end was sent, over the mean.
+        Most requests that one back end was sent, over the mean of all back ends.
     turned_away
-        Requests that found a queue full.
+        Requests rejected because a queue was full.
     unused
         Back ends that were sent no request.
     p50, p99
-        Time to an answer, in seconds.
+        Response time, in seconds.
     """
 
     nodes: int
@@ -104,18 +105,18 @@
 
 @dataclass
 class _SimulatedBackend:
-    """A back end's queue."""
+    """A back end with its slots and queue."""
 
     slots: simpy.Resource
     speed: float
     arrivals: int = 0
 
     def is_full(self) -> bool:
-        """Whether one more request is turned away."""
-        return len(self.slots.queue) >= QUEUE
+        """Whether the next request is rejected."""
+        return len(self.slots.queue) >= MAX_QUEUE_LENGTH
 
     def load(self) -> LoadReport:
-        """What its answers tell."""
+        """Load that its responses report."""
         return LoadReport(self.slots.count, len(self.slots.queue), SLOTS)
 
 
@@ -124,7 +125,7 @@
     """One simulation."""
 
     fleet: Fleet
-    luck: random.Random
+    rng: random.Random
     environment: simpy.Environment = field(default_factory=simpy.Environment)
     turned_away: int = 0
     times: list[Seconds] = field(default_factory=list)
@@ -149,7 +150,7 @@
         return directory
 
     def result(self) -> ChoiceResult:
-        """Run to the end."""
+        """Run the simulation and return its result."""
         self.environment.process(self._callers())
         self.environment.process(self._leader())
         self.environment.run(until=DURATION)
@@ -167,11 +168,11 @@
 
     def _callers(self) -> Steps:
         while True:
-            yield self.environment.timeout(self.luck.expovariate(self.fleet.rate))
-            self.environment.process(self._request(self.luck.choice(self.directories)))
+            yield self.environment.timeout(self.rng.expovariate(self.fleet.rate))
+            self.environment.process(self._request(self.rng.choice(self.directories)))
 
     def _request(self, directory: backends.BackendDirectory) -> Steps:
-        state = self._chosen(directory)
+        state = self._choose(directory)
         backend = self.backends[state.backend.backend_id]
         backend.arrivals += 1
         if backend.is_full():
@@ -179,28 +180,28 @@
             state.record_load(backend.load(), self.environment.now)
             state.record_queue_full(self.environment.now)
             return
-        arrived = self.environment.now
+        arrived_at = self.environment.now
         state.outstanding += 1
         with backend.slots.request() as slot:
             yield slot
             yield self.environment.timeout(self._work() / backend.speed)
         state.outstanding -= 1
         now = self.environment.now
-        self.times.append(now - arrived)
+        self.times.append(now - arrived_at)
         state.record_load(backend.load(), now)
-        state.record_response(now - arrived, backend.load(), now, ROUTE)
+        state.record_response(now - arrived_at, backend.load(), now, ROUTE)
 
     def _work(self) -> Seconds:
-        return self.fleet.work * self.luck.lognormvariate(-(WORK_SIGMA**2) / 2.0, WORK_SIGMA)
+        return self.fleet.work * self.rng.lognormvariate(-(WORK_SIGMA**2) / 2.0, WORK_SIGMA)
 
-    def _chosen(self, directory: backends.BackendDirectory) -> BackendState:
+    def _choose(self, directory: backends.BackendDirectory) -> BackendState:
         now = self.environment.now
         states = directory.of_service(SERVICE)
         if self.fleet.choice is Choice.RANDOM:
-            return self.luck.choice(states)
+            return self.rng.choice(states)
         if self.fleet.choice is Choice.SOONEST:
             return min(states, key=functools.partial(_expected_time, now=now, work=self.fleet.work))
-        request_id = self.luck.randbytes(8)
+        request_id = self.rng.randbytes(8)
         chosen = directory.choose(SERVICE, (), request_id, now)
         assert chosen is not None
         return chosen
--- a/src/limedeck_lab/experiment_keys.py
+++ b/src/limedeck_lab/experiment_keys.py
@@ -1,9 +1,10 @@
-"""How soon requests for keys are answered while the leader balances keys among their owners.
+"""Simulates response times of keyed requests while the leader balances keys among their owners.
 
-The leader is the product's `ServiceOwnership`; time, callers and back ends are simulated. Back ends
-differ in speed, work on a few requests at once, queue some and turn the rest away. Now and then one
-key gets much of the traffic, more than any back end can work. Nodes are simplified to one that
-learns of owners late. All times are in seconds; equal seeds give equal results.
+The leader is limedeck's `ServiceOwnership`; time, callers and back ends are simulated. Back ends
+differ in speed, process `SLOTS` requests at once, queue up to `MAX_QUEUE_LENGTH` more and reject
+the rest. During hot periods one key gets more traffic than any back end can process. All nodes are
+simplified to one that learns of owners with a delay. All times are in seconds; equal seeds give
+equal results.
 """
 
 from __future__ import annotations
@@ -28,36 +29,36 @@
 
 SERVICE = "s"
 POSITIONS = 65_536
-THINGS = 20_000
-"""What requests are about; each has a position."""
+KEY_COUNT = 20_000
+"""Distinct keys that requests have; each has a position."""
 SKEW = 0.33
-"""Requests for the thing of rank r are proportional to 1 / r ** SKEW."""
+"""The rate of the key of rank r is proportional to 1 / r ** SKEW."""
 SLOTS = 2
-QUEUE = 8
-"""Requests that wait at a back end; one more is turned away."""
+MAX_QUEUE_LENGTH = 8
+"""Requests that wait at a back end; any more are rejected."""
 SPEEDS = (0.6, 1.0, 1.4)
-"""Speeds of back ends, in turn, relative to each other."""
+"""Relative speeds, assigned to the back ends in turn."""
 WORK: Seconds = 0.2
 WORK_SIGMA = 0.3
-"""Mean and spread of the lognormal work of one request, at speed 1."""
-OBJECTIVE: Seconds = 0.6
+"""Mean and sigma of the lognormal work of a request, at speed 1."""
+RESPONSE_TIME_OBJECTIVE: Seconds = 0.6
 ORDER_TIME: Seconds = 0.005
 WRITE_TIME: Seconds = 0.012
 STATUS_SEND_TIME: Seconds = 0.2
-"""Until all nodes know a change of owners."""
+"""Time until all nodes know a change of owners."""
 REPORT_INTERVAL: Seconds = 0.5
 LEADER_INTERVAL: Seconds = 0.05
-LONGEST_WAIT: Seconds = 0.4
-"""A request waits so long for its key to have an owner."""
-WARM_UP: Seconds = 8.0
-"""Requests before this are not judged: the leader knows no loads yet."""
+MAX_OWNER_WAIT: Seconds = 0.4
+"""Longest time that a request waits for its key to have an owner."""
+WARMUP_TIME: Seconds = 8.0
+"""Requests that arrive earlier are not counted: the leader knows no loads yet."""
 
 Steps = Generator[simpy.Event, None, None]
 
 
 @dataclass(frozen=True)
-class HotSpell:
-    """One key gets a part of the traffic for a while."""
+class HotPeriod:
+    """A period in which one key gets this share of the traffic."""
 
     start: Seconds
     end: Seconds
@@ -66,30 +67,33 @@
 
 @dataclass(frozen=True)
 class KeyedFleet:
-    """What is simulated.
+    """Fleet and load to simulate.
 
     Parameters
     ----------
     rate
-        Requests a second.
+        Requests per second.
     """
 
     backends: int = 128
     rate: float = 771.0
     duration: Seconds = 40.0
-    spells: tuple[HotSpell, ...] = (HotSpell(18.0, 23.0, 0.33), HotSpell(25.0, 29.0, 0.41))
+    hot_periods: tuple[HotPeriod, ...] = (HotPeriod(18.0, 23.0, 0.33), HotPeriod(25.0, 29.0, 0.41))
 
 
 @dataclass(frozen=True)
 class KeysResult:
-    """What one run, or the mean of several, showed.
+    """Result of one run, or mean of several.
 
     Parameters
     ----------
     in_time, late, lost
-        Parts of the requests for keys other than the hottest.
+        Fractions of the requests for keys other than the hot ones: completed within
+        `RESPONSE_TIME_OBJECTIVE`, completed later, and not completed.
+    wrong_owner
+        Attempts at which the owner known to the nodes had no lease for the key.
     moved
-        How many times all keys changed owner.
+        Positions that changed owner, as a multiple of all positions.
     """
 
     requests: int
@@ -106,40 +110,40 @@
 
 @dataclass
 class _KeyedBackend:
-    """A back end's queue and the keys it may run requests for."""
+    """A back end with its slots, its queue and its leases."""
 
     slots: simpy.Resource
     speed: float
     leases: dict[tuple[int, int], Seconds] = field(default_factory=dict)
-    present: Counter[int] = field(default_factory=Counter)
+    unfinished: Counter[int] = field(default_factory=Counter)
 
     def holds(self, position: int, now: Seconds) -> bool:
         """Whether it has a lease for a key."""
         return any(
-            first <= position <= last and until > now
-            for (first, last), until in self.leases.items()
+            first <= position <= last and expires_at > now
+            for (first, last), expires_at in self.leases.items()
         )
 
-    def take(self, order: Grant, now: Seconds) -> None:
-        """Take a lease, in place of all within it."""
+    def grant(self, order: Grant, now: Seconds) -> None:
+        """Add a lease; it replaces all leases within its range."""
         for span in [span for span in self.leases if _within(span, order)]:
             del self.leases[span]
         self.leases[order.first, order.last] = now + order.duration
 
-    def give_up(self, order: Release) -> None:
-        """Begin nothing more on these keys."""
-        kept = {}
-        for (first, last), until in self.leases.items():
+    def release(self, order: Release) -> None:
+        """Give up the leases of these keys, or the parts of them that cover these keys."""
+        remaining = {}
+        for (first, last), expires_at in self.leases.items():
             for part in ((first, min(last, order.first - 1)), (max(first, order.last + 1), last)):
                 if part[0] <= part[1]:
-                    kept[part] = until
-        self.leases = kept
+                    remaining[part] = expires_at
+        self.leases = remaining
 
-    def works_on(self, order: Release) -> bool:
-        """Whether requests for these keys are there."""
+    def has_requests_for(self, order: Release) -> bool:
+        """Whether requests for these keys are queued or processed."""
         return any(
             count and order.first <= position <= order.last
-            for position, count in self.present.items()
+            for position, count in self.unfinished.items()
         )
 
 
@@ -150,9 +154,9 @@
 class _Run:
     """One simulation."""
 
-    def __init__(self, fleet: KeyedFleet, luck: random.Random) -> None:
+    def __init__(self, fleet: KeyedFleet, rng: random.Random) -> None:
         self._fleet = fleet
-        self._luck = luck
+        self._rng = rng
         self._environment = simpy.Environment()
         names = [f"b{number:03d}" for number in range(fleet.backends)]
         self._backends = {
@@ -170,23 +174,23 @@
         self._row_version = 0
         self._owners = OwnerMap()
         self._counts: Counter[int] = Counter()
-        self._positions = [luck.randrange(POSITIONS) for _ in range(THINGS)]
-        ranks = range(1, THINGS + 1)
+        self._positions = [rng.randrange(POSITIONS) for _ in range(KEY_COUNT)]
+        ranks = range(1, KEY_COUNT + 1)
         self._popularity = list(itertools.accumulate(rank**-SKEW for rank in ranks))
-        self._hot = [luck.randrange(POSITIONS) for _ in fleet.spells]
+        self._hot_positions = [rng.randrange(POSITIONS) for _ in fleet.hot_periods]
         self._outcomes: Counter[str] = Counter()
         self._wrong_owner = 0
         self._moved = 0
 
     def result(self) -> KeysResult:
-        """Run to the end."""
+        """Run the simulation and return its result."""
         for process in (self._lead(), self._report(), self._callers()):
             self._environment.process(process)
         self._environment.run(until=self._fleet.duration)
-        judged = sum(self._outcomes.values())
-        shares = {name: self._outcomes[name] / judged for name in ("in-time", "late", "lost")}
+        counted = sum(self._outcomes.values())
+        shares = {name: self._outcomes[name] / counted for name in ("in-time", "late", "lost")}
         return KeysResult(
-            judged,
+            counted,
             shares["in-time"],
             shares["late"],
             shares["lost"],
@@ -197,37 +201,39 @@
     # ------------------------------------------------------------------ the leader
 
     def _lead(self) -> Steps:
-        told: object = None
+        last_published: object = None
         while True:
             now = self._environment.now
             for command in self._core.handle_tick(True, now):
-                self._environment.process(self._carry_out(command))
+                self._environment.process(self._execute(command))
             for change in self._core.changes:
                 if change.cause is not OwnerChangeCause.FIRST:
                     self._moved += change.last - change.first + 1
             self._core.changes.clear()
             ranges = self._core.published(now)
-            if ranges is not told:
-                told = ranges
-                self._environment.process(self._tell(OwnerMap(self._core.version, ranges)))
+            if ranges is not last_published:
+                last_published = ranges
+                self._environment.process(
+                    self._publish_owners(OwnerMap(self._core.version, ranges))
+                )
             yield self._environment.timeout(LEADER_INTERVAL)
 
-    def _tell(self, owners: OwnerMap) -> Steps:
+    def _publish_owners(self, owners: OwnerMap) -> Steps:
         yield self._environment.timeout(STATUS_SEND_TIME)
         self._owners = owners
 
-    def _carry_out(self, command: OwnershipCommand) -> Steps:
+    def _execute(self, command: OwnershipCommand) -> Steps:
         sent_at = self._environment.now
         if isinstance(command, SendGrant):
             yield self._environment.timeout(ORDER_TIME)
             now = self._environment.now
-            self._backends[command.order.backend_id].take(command.order, now)
+            self._backends[command.order.backend_id].grant(command.order, now)
             self._core.handle_grant_answer(command.order, True, False, sent_at, now)
         elif isinstance(command, SendRelease):
             yield self._environment.timeout(ORDER_TIME)
             backend = self._backends[command.order.backend_id]
-            backend.give_up(command.order)
-            while backend.works_on(command.order):
+            backend.release(command.order)
+            while backend.has_requests_for(command.order):
                 yield self._environment.timeout(LEADER_INTERVAL)
             self._core.handle_release_answer(command.order, True, "token", self._environment.now)
         else:
@@ -245,36 +251,38 @@
 
     def _callers(self) -> Steps:
         while True:
-            yield self._environment.timeout(self._luck.expovariate(self._fleet.rate))
-            self._environment.process(self._request(self._drawn_position()))
+            yield self._environment.timeout(self._rng.expovariate(self._fleet.rate))
+            self._environment.process(self._request(self._draw_position()))
 
-    def _drawn_position(self) -> int:
+    def _draw_position(self) -> int:
         now = self._environment.now
-        for spell, position in zip(self._fleet.spells, self._hot, strict=True):
-            if spell.start <= now < spell.end and self._luck.random() < spell.share:
+        for period, position in zip(self._fleet.hot_periods, self._hot_positions, strict=True):
+            if period.start <= now < period.end and self._rng.random() < period.share:
                 return position
-        point = self._luck.random() * self._popularity[-1]
+        point = self._rng.random() * self._popularity[-1]
         return self._positions[bisect.bisect(self._popularity, point)]
 
     def _request(self, position: int) -> Steps:
-        arrived = self._environment.now
+        arrived_at = self._environment.now
         self._counts[position] += 1
         backend = yield from self._owner_of(position)
-        if backend is None or len(backend.slots.queue) >= QUEUE:
-            self._judge(position, arrived, "lost")
+        if backend is None or len(backend.slots.queue) >= MAX_QUEUE_LENGTH:
+            self._count_outcome(position, arrived_at, "lost")
             return
-        backend.present[position] += 1
+        backend.unfinished[position] += 1
         with backend.slots.request() as slot:
             yield slot
             yield self._environment.timeout(self._work() / backend.speed)
-        backend.present[position] -= 1
-        took = self._environment.now - arrived
-        self._judge(position, arrived, "in-time" if took <= OBJECTIVE else "late")
+        backend.unfinished[position] -= 1
+        response_time = self._environment.now - arrived_at
+        self._count_outcome(
+            position, arrived_at, "in-time" if response_time <= RESPONSE_TIME_OBJECTIVE else "late"
+        )
 
     def _owner_of(self, position: int) -> Generator[simpy.Event, None, _KeyedBackend | None]:
-        """Wait for the key's owner, as nodes know it, to have its lease."""
-        until = self._environment.now + LONGEST_WAIT
-        while self._environment.now < until:
+        """Wait until the owner that nodes know has a lease for the key; None after a time-out."""
+        deadline = self._environment.now + MAX_OWNER_WAIT
+        while self._environment.now < deadline:
             owner = self._owners.owner(position)
             if owner and self._backends[owner].holds(position, self._environment.now):
                 return self._backends[owner]
@@ -283,10 +291,10 @@
         return None
 
     def _work(self) -> Seconds:
-        return WORK * self._luck.lognormvariate(-(WORK_SIGMA**2) / 2.0, WORK_SIGMA)
+        return WORK * self._rng.lognormvariate(-(WORK_SIGMA**2) / 2.0, WORK_SIGMA)
 
-    def _judge(self, position: int, arrived: Seconds, outcome: str) -> None:
-        if arrived >= WARM_UP and position not in self._hot:
+    def _count_outcome(self, position: int, arrived_at: Seconds, outcome: str) -> None:
+        if arrived_at >= WARMUP_TIME and position not in self._hot_positions:
             self._outcomes[outcome] += 1
 
 
--- a/src/limedeck_lab/load.py
+++ b/src/limedeck_lab/load.py
@@ -1,4 +1,4 @@
-"""Callers: requests as a site's workload describes them, and the count of what became of them."""
+"""Sends the requests of a site's workload and counts their outcomes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from limedeck.routing.outcomes import Outcome
 from limedeck_lab.site import RequestKind, Site
 
-CALLER_KEEPALIVE = 0.5
-"""Below a stopping node's notice, so that callers use no connection that is about to close."""
-CALLER_TIMEOUT = 15.0
+CALLER_KEEPALIVE_SECONDS = 0.5
+"""Below the notice period of a stopping node, so that callers don't send on a connection that is
+about to close."""
+CALLER_TIMEOUT_SECONDS = 15.0
 SAFE_METHODS = ("GET", "HEAD")
-RETRY_DELAY = 0.05
-CONNECT_ATTEMPTS = 20
+RETRY_DELAY_SECONDS = 0.05
+MAX_CONNECT_ATTEMPTS = 20
 
 
 @dataclass(frozen=True)
@@ -32,22 +33,24 @@
 
     @property
     def path(self) -> str:
-        """Path with the service's name in front."""
+        """Path, prefixed with the service's name."""
         return f"/{self.kind.service}/{self.kind.path.format(key=self.key)}"
 
 
 @dataclass
 class LoadResult:
-    """What became of the requests.
+    """Outcomes of the requests.
 
     Parameters
     ----------
     wrong
-        Answers that belong to another request or are not whole though they say so.
+        Responses that belong to another request or are incomplete, though marked whole.
     duplicated
-        Requests that may not be repeated and ran more than once.
+        Non-repeatable requests that ran more than once.
+    not_run_but_ran
+        Requests that were reported as not run, but ran.
     latencies
-        Of whole answers, in seconds.
+        Of whole responses, in seconds.
     """
 
     sent: int = 0
@@ -74,7 +77,7 @@
         }
 
     def compare_with_executions(self, executions: dict[str, int]) -> None:
-        """Take in how often the back ends ran each unrepeatable request."""
+        """Compare the outcomes with the number of executions of each non-repeatable request."""
         self.duplicated = sum(count > 1 for count in executions.values())
         self.not_run_but_ran = sum(item in executions for item in self.not_run_ids)
 
@@ -91,14 +94,14 @@
 
 
 def draw_key(kind: RequestKind, generator: random.Random) -> str:
-    """Draw a key: one of the hot ones, or any."""
+    """Draw a key, from the hot keys or from all others."""
     if generator.random() < kind.hot_share and kind.hot_keys > 0:
         return f"hot-{generator.randrange(kind.hot_keys)}"
     return f"key-{generator.randrange(kind.keys)}"
 
 
 class LoadGenerator:
-    """Sends requests to nodes in turn, so many at a time.
+    """Sends requests to nodes in turn, up to `concurrency` at a time.
 
     Parameters
     ----------
@@ -115,17 +118,19 @@
         self._progress = anyio.Event()
 
     async def wait_for_sent(self, count: int) -> None:
-        """Wait until so many requests were sent."""
+        """Wait until `count` requests were sent."""
         while self.result.sent < count:
             await self._progress.wait()
 
     async def run(self, requests: Iterable[PlannedRequest], rate: float = 0.0) -> LoadResult:
-        """Send all requests; at most `rate` a second unless that is zero."""
-        limits = httpx.Limits(max_connections=self._concurrency, keepalive_expiry=CALLER_KEEPALIVE)
+        """Send all requests, at most `rate` per second unless it is zero."""
+        limits = httpx.Limits(
+            max_connections=self._concurrency, keepalive_expiry=CALLER_KEEPALIVE_SECONDS
+        )
         limiter = anyio.CapacityLimiter(self._concurrency)
         async with (
             httpx.AsyncClient(
-                limits=limits, timeout=CALLER_TIMEOUT, trust_env=False, verify=False
+                limits=limits, timeout=CALLER_TIMEOUT_SECONDS, trust_env=False, verify=False
             ) as client,
             anyio.create_task_group() as tasks,
         ):
@@ -156,9 +161,9 @@
     async def _send(
         self, client: httpx.AsyncClient, request: PlannedRequest, number: int
     ) -> httpx.Response | None:
-        """Send a request to a node, the next one if it cannot be connected to."""
+        """Send a request to a node, or to the next one if the connection fails."""
         body = None if request.kind.method in SAFE_METHODS else request.request_id.encode()
-        for attempt in range(CONNECT_ATTEMPTS):
+        for attempt in range(MAX_CONNECT_ATTEMPTS):
             address = self._addresses[(number + attempt) % len(self._addresses)]
             try:
                 return await client.request(
@@ -168,20 +173,22 @@
                     headers={"limedeck-request-id": request.request_id},
                 )
             except (httpx.ConnectError, httpx.ConnectTimeout):
-                await anyio.sleep(RETRY_DELAY)
+                await anyio.sleep(RETRY_DELAY_SECONDS)
             except httpx.HTTPError as error:
                 self.result.reasons[type(error).__name__] += 1
                 return None
         self.result.reasons["no node reachable"] += 1
         return None
 
-    def _count(self, request: PlannedRequest, response: httpx.Response | None, took: float) -> None:
+    def _count(
+        self, request: PlannedRequest, response: httpx.Response | None, latency: float
+    ) -> None:
         result = self.result
         outcome = response.headers.get("limedeck-outcome") if response is not None else None
         if response is not None and outcome == Outcome.WHOLE.value:
             result.whole += 1
-            result.latencies.append(took)
-            if not _belongs(request, response):
+            result.latencies.append(latency)
+            if not _is_response_to(request, response):
                 result.wrong += 1
             return
         if response is not None:
@@ -193,16 +200,16 @@
             result.unknown += 1
 
 
-def _belongs(request: PlannedRequest, response: httpx.Response) -> bool:
-    """Whether an answer is the whole one to this request."""
+def _is_response_to(request: PlannedRequest, response: httpx.Response) -> bool:
+    """Whether this is the complete response to this request."""
     try:
         content = json.loads(response.content)
     except ValueError:
         return False
-    wanted_path = "/" + request.kind.path.format(key=request.key)
+    expected_path = "/" + request.kind.path.format(key=request.key)
     return bool(
         response.is_success
         and content["request_id"] == request.request_id
-        and content["path"] == wanted_path
+        and content["path"] == expected_path
         and content["method"] == request.kind.method
     )
--- a/src/limedeck_lab/port_locks.py
+++ b/src/limedeck_lab/port_locks.py
@@ -1,8 +1,8 @@
-"""Ports that runs on this machine reserve for their processes, so that no two runs take the same.
+"""Reserves ports for the processes of a run, so that no two runs on this machine use the same port.
 
-A run looks for a free port, and its process listens there a second later. Another run would find
-the port free in between. Each reservation is a lock on a file that all runs see; it ends with the
-process that holds it, however that ends.
+A process listens on its port a second after the run has found it free; without a reservation
+another run would find the port free in between. A reservation is a lock on a file in a folder that
+all runs share; the system releases it when the process that holds it ends, for whatever reason.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 import pathlib
 import tempfile
 
-FOLDER = "limedeck-ports"
+DEFAULT_FOLDER = "limedeck-ports"
 
 
 class PortLocks:
-    """Reservations of this process.
+    """Port reservations of this process.
 
     Parameters
     ----------
     folder
-        Where the files are; runs that share it keep out of each other's way.
+        Folder of the lock files; runs that share it do not reserve the same ports.
     """
 
     def __init__(self, folder: pathlib.Path | None = None) -> None:
-        self._folder = folder or pathlib.Path(tempfile.gettempdir()) / FOLDER
-        self._held: dict[int, io.BufferedWriter] = {}
+        self._folder = folder or pathlib.Path(tempfile.gettempdir()) / DEFAULT_FOLDER
+        self._lock_files: dict[int, io.BufferedWriter] = {}
 
     def try_reserve(self, port: int) -> bool:
-        """Reserve a port until this process ends, unless it is reserved already, here or by others.
+        """Reserve a port until this process ends; return False if it is reserved already.
 
         Raises
         ------
         OSError
             The folder cannot be written.
         """
-        if port in self._held:
+        if port in self._lock_files:
             return False
         self._folder.mkdir(parents=True, exist_ok=True)
         file = (self._folder / str(port)).open("ab")
@@ -45,11 +45,11 @@
         except BlockingIOError:
             file.close()
             return False
-        self._held[port] = file
+        self._lock_files[port] = file
         return True
 
     def release_all(self) -> None:
-        """Give all reservations up."""
-        for file in self._held.values():
+        """Release all reservations."""
+        for file in self._lock_files.values():
             file.close()
-        self._held.clear()
+        self._lock_files.clear()
--- a/src/limedeck_lab/processes.py
+++ b/src/limedeck_lab/processes.py
@@ -1,4 +1,4 @@
-"""Starting, watching and ending the processes of a run, by their ids."""
+"""Starts, monitors and ends the processes of a run."""
 
 from __future__ import annotations
 
@@ -18,27 +18,28 @@
 from limedeck.errors import LimedeckError
 from limedeck_lab import port_locks
 
-END_PATIENCE = 20.0
-POLL_PAUSE = 0.05
+STOP_TIMEOUT_SECONDS = 20.0
+POLL_INTERVAL_SECONDS = 0.05
 USER_TICKS_FIELD = 11
 KERNEL_TICKS_FIELD = 12
-"""Of /proc/PID/stat, counted after the process's name."""
+"""Indexes of fields of /proc/PID/stat, counted from the field after the process's name."""
 
 
 class ConditionNotMet(LimedeckError):
-    """A condition did not come about in the time allowed."""
+    """A condition did not hold within the time allowed."""
 
 
 FIRST_PORT, LAST_PORT = 10_240, 19_999
-"""Below those that the system gives to outgoing connections (from 32,768 on) and those of
-`free_port_range`: another process could take one between the look and the start of its user."""
+"""Range of `free_ports`, below the ephemeral ports (from 32,768 on) and the ports of
+`free_port_range`: another process could take a port of these between the check and the start of the
+process that is to listen there."""
 _locks = port_locks.PortLocks()
 
 
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Find ports that are free now, and reserve them for this process and those it starts."""
+    """Find ports that are free now; reserve them for this process and those it starts."""
     found: list[int] = []
-    # Other runs on this machine begin elsewhere, whatever seeds they have.
+    # Not seeded, so that runs with equal seeds on this machine start at different ports.
     source = random.SystemRandom()
     while len(found) < count:
         port = source.randint(FIRST_PORT, LAST_PORT)
@@ -48,7 +49,7 @@
 
 
 def free_port_range(count: int, host: str = "127.0.0.1", first: int = 20_000) -> int:
-    """Find the first of so many consecutive free ports, below those given out at random."""
+    """Find the first of `count` consecutive free ports; the start depends on the process id."""
     start = first + os.getpid() % 50 * 200
     while not all(is_free(host, start + offset) for offset in range(count)):
         start += count
@@ -56,7 +57,7 @@
 
 
 def is_free(host: str, port: int) -> bool:
-    """Whether a process could listen there now."""
+    """Whether a process could listen on this port now."""
     with socket.socket() as item:
         item.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -72,17 +73,17 @@
     Raises
     ------
     ConditionNotMet
-        It did not in time.
+        The condition did not hold within `timeout` seconds.
     """
-    give_up_at = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     while not condition():
-        if time.monotonic() > give_up_at:
+        if time.monotonic() > deadline:
             raise ConditionNotMet(what)
-        time.sleep(POLL_PAUSE)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
 def answers(url: str, status: int = 200) -> bool:
-    """Whether a GET is answered with a status."""
+    """Whether a GET request gets a response with this status."""
     try:
         return httpx.get(url, timeout=1.0, trust_env=False, verify=False).status_code == status
     except httpx.HTTPError:
@@ -90,20 +91,20 @@
 
 
 def processor_seconds(process_id: int) -> float:
-    """Processor time that a process has used, in user and kernel."""
+    """Processor time that a process has used, in user and kernel mode."""
     fields = Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_TICKS_FIELD]) + int(fields[KERNEL_TICKS_FIELD])
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
 def resident_bytes(process_id: int) -> int:
-    """Memory of a process that is resident."""
+    """Resident memory of a process."""
     pages = int(Path(f"/proc/{process_id}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-LOG_END = 2_000
-"""Bytes of a process's log that an error carries."""
+LOG_TAIL_BYTES = 2_000
+"""Length of the end of a process's log that an error message includes."""
 
 
 @dataclass
@@ -113,7 +114,7 @@
     Parameters
     ----------
     log
-        File that its output goes to.
+        File that receives its standard output and error.
     """
 
     name: str
@@ -122,24 +123,24 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process still runs."""
         return self.process.poll() is None
 
     def describe(self) -> str:
-        """Tell whether it runs, and the end of its log, for the error of a failed wait."""
+        """Describe its state and the end of its log, for error messages."""
         state = "runs" if self.is_running else f"ended with code {self.process.returncode}"
-        return f"{self.name} {state}; its log ends with {self.log.read_bytes()[-LOG_END:]!r}"
+        return f"{self.name} {state}; its log ends with {self.log.read_bytes()[-LOG_TAIL_BYTES:]!r}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
-    def wait(self, timeout: float = END_PATIENCE) -> int:
-        """Wait for its end; return its exit code."""
+    def wait(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
+        """Wait until the process ends; return its exit code."""
         return self.process.wait(timeout)
 
     def end(self) -> int:
-        """End it, by force if it does not end by itself in time."""
+        """Terminate the process, with SIGKILL after a time-out; return its exit code."""
         if self.is_running:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGTERM)
@@ -152,7 +153,7 @@
 
 @dataclass
 class ProcessGroup:
-    """All processes of a run; ended together, last started first."""
+    """All processes of a run, which are ended together in reverse order of their start."""
 
     directory: Path
     processes: list[ManagedProcess] = field(default_factory=list)
--- a/src/limedeck_lab/report.py
+++ b/src/limedeck_lab/report.py
@@ -16,15 +16,15 @@
 WIDTH_INCHES = 8.0
 HEIGHT_INCHES = 4.5
 DOTS_PER_INCH = 110
-BUDGETS = {"bytes_per_second": 23_000.0, "core_share": 0.038}
-"""What a node may spend on control."""
-SERVED_AGAIN_SECONDS = 3.0
+CONTROL_BUDGETS = {"bytes_per_second": 23_000.0, "core_share": 0.038}
+"""Limits of one node's control costs, by the key in the records."""
+MAX_UNSERVED_SECONDS = 3.0
 
 Record = dict[str, Any]
 
 
 class UnreadableRecord(LimedeckError):
-    """A line of a record file is not a JSON object."""
+    """A line of a record file starts a JSON object but is not valid JSON."""
 
 
 @dataclass
@@ -38,7 +38,7 @@
     sizes
         Of ``limedeck-lab bench control``, one for each size.
     phases
-        Of ``limedeck-lab experiment balance``, one for each way and phase.
+        Of ``limedeck-lab experiment balance``, one for each strategy and phase.
     """
 
     runs: list[Record] = field(default_factory=list)
@@ -46,7 +46,7 @@
     phases: list[Record] = field(default_factory=list)
 
     def add(self, record: Record) -> None:
-        """Sort a record by its kind; records of other kinds are passed over."""
+        """Add a record to those of its kind; records of other kinds are ignored."""
         if "unavailable_seconds" in record:
             self.runs.append(record)
         elif "size" in record:
@@ -56,12 +56,12 @@
 
 
 def read_records(files: Sequence[str]) -> Records:
-    """Read record files; lines that are not JSON objects are refused.
+    """Read record files; lines that do not start with ``{`` are skipped.
 
     Raises
     ------
     UnreadableRecord
-        With the file and the line's number.
+        A line is not valid JSON; the message names the file and the line's number.
     """
     records = Records()
     for file in files:
@@ -77,7 +77,7 @@
 
 
 def write_plots(records: Records, directory: Path) -> list[Path]:
-    """Draw what the records allow; return the files written."""
+    """Write the plots for which there are records; return their files."""
     directory.mkdir(parents=True, exist_ok=True)
     written = []
     if records.runs:
@@ -113,22 +113,24 @@
             worst[fault] = max(worst.get(fault, 0.0), seconds)
     names = sorted(worst, key=lambda name: worst[name])
     axes.barh(names, [worst[name] for name in names], color="#4a7f2c")
-    axes.axvline(SERVED_AGAIN_SECONDS, color="black", linestyle="--", label="3 s allowed")
+    axes.axvline(MAX_UNSERVED_SECONDS, color="black", linestyle="--", label="3 s allowed")
     axes.set_xlabel("longest time a key was unserved (s)")
     axes.set_title(f"Unserved time by the fault before it, {len(runs)} runs")
     axes.legend()
 
 
 def _draw_balance(axes: Axes, phases: Sequence[Record]) -> None:
-    ways = list(dict.fromkeys(item["way"] for item in phases))
+    strategies = list(dict.fromkeys(item["way"] for item in phases))
     names = list(dict.fromkeys(item["phase"] for item in phases))
-    width = 0.8 / len(ways)
-    for index, way in enumerate(ways):
-        values = {item["phase"]: item["imbalance_settled"] for item in phases if item["way"] == way}
-        places = [place + index * width for place in range(len(names))]
-        axes.bar(places, [values[name] for name in names], width, label=way)
+    width = 0.8 / len(strategies)
+    for index, strategy in enumerate(strategies):
+        values = {
+            item["phase"]: item["imbalance_settled"] for item in phases if item["way"] == strategy
+        }
+        positions = [position + index * width for position in range(len(names))]
+        axes.bar(positions, [values[name] for name in names], width, label=strategy)
     floors = {item["phase"]: item["floor"] for item in phases}
-    centres = [place + 0.4 - width / 2 for place in range(len(names))]
+    centres = [position + 0.4 - width / 2 for position in range(len(names))]
     axes.scatter(centres, [floors[name] for name in names], color="black", label="floor", zorder=3)
     axes.set_xticks(centres, names)
     axes.set_ylim(0.9)
@@ -140,14 +142,14 @@
 def _draw_costs(figure: Figure, sizes: Sequence[Record], series: str) -> None:
     names = {"nodes": "nodes", "backends": "back ends", "slices": "slices for each back end"}
     key = "slices_per_backend" if series == "slices" else series
-    places = [item["size"][key] for item in sizes]
+    positions = [item["size"][key] for item in sizes]
     for index, (cost, label) in enumerate(
         (("bytes_per_second", "bytes a second"), ("core_share", "part of a core"))
     ):
         axes = figure.add_subplot(1, 2, index + 1)
         for role in ("follower", "leader"):
-            axes.plot(places, [item[role][cost] for item in sizes], marker="o", label=role)
-        axes.axhline(BUDGETS[cost], color="black", linestyle="--", label="budget")
+            axes.plot(positions, [item[role][cost] for item in sizes], marker="o", label=role)
+        axes.axhline(CONTROL_BUDGETS[cost], color="black", linestyle="--", label="budget")
         axes.set_xlabel(names.get(series, series))
         axes.set_ylabel(label)
         axes.set_ylim(0)
--- a/src/limedeck_lab/site.py
+++ b/src/limedeck_lab/site.py
@@ -1,4 +1,4 @@
-"""A deployment at its size, as ``examples/*.toml`` describe it: for demo, load and simulation."""
+"""Model of the deployments that ``examples/*.toml`` describe, for demo, load and simulation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Section(BaseModel):
-    """A table of a site file; keys it does not know are refused."""
+    """A table of a site file; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -30,11 +30,11 @@
     Parameters
     ----------
     weight
-        Part of all requests, relative to the other kinds' weights.
+        Share of all requests, relative to the other kinds' weights.
     path
         Path below the service, with ``{key}`` for the key.
     hot_keys, hot_share
-        So many keys get this part of the requests of the kind.
+        Number of hot keys, and the fraction of the kind's requests that they get together.
     """
 
     name: str
@@ -68,9 +68,9 @@
     Parameters
     ----------
     zone_delay_ms, caller_delay_ms
-        One way, between zones and to callers.
+        One-way delays between zones, and between callers and nodes.
     nodes_per_zone
-        limedeck nodes in each zone.
+        Number of limedeck nodes in each zone.
     """
 
     name: str
@@ -84,22 +84,22 @@
     requests: list[RequestKind] = Field(min_length=1)
 
     def scaled(self, factor: float) -> Site:
-        """The same deployment with this fraction of nodes, back ends and control groups."""
+        """Return the deployment with this fraction of nodes, back ends and control groups."""
 
-        def part(count: int) -> int:
+        def scale_count(count: int) -> int:
             return max(round(count * factor), 1)
 
         services = [
             item.model_copy(
                 update={
-                    "backends": part(item.backends),
-                    "control_groups": part(item.control_groups),
+                    "backends": scale_count(item.backends),
+                    "control_groups": scale_count(item.control_groups),
                 }
             )
             for item in self.services
         ]
         return self.model_copy(
-            update={"nodes_per_zone": part(self.nodes_per_zone), "services": services}
+            update={"nodes_per_zone": scale_count(self.nodes_per_zone), "services": services}
         )
 
     def service_objects(self) -> list[Service]:
@@ -107,7 +107,7 @@
         return [_service(item) for item in self.services]
 
     def backend_objects(self, host: str, first_port: int) -> list[Backend]:
-        """The back ends as operators add them, on consecutive ports, zones in turn."""
+        """The back ends as operators add them, on consecutive ports, in the zones in turn."""
         backends = []
         port = first_port
         for service in self.services:
@@ -163,6 +163,6 @@
     Raises
     ------
     InvalidSetting
-        It cannot be used.
+        The file cannot be read or has an invalid key.
     """
     return load_model(file, Site)
--- a/src/limedeck_lab/statistics.py
+++ b/src/limedeck_lab/statistics.py
@@ -1,4 +1,4 @@
-"""Small statistics over measured values."""
+"""Statistics of measured values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def percentile(ordered: Sequence[float], fraction: float) -> float:
-    """Value below which this fraction of ordered values lies; zero for none.
+    """Return the value below which this fraction of the values lies; zero without values.
 
     Parameters
     ----------
--- a/tests/unit/test_free_ports.py
+++ b/tests/unit/test_free_ports.py
@@ -1,9 +1,9 @@
-"""Ports for processes of a run: nothing else may take them before the process listens.
+"""Port reservation: no other process may take a port before the process of the run listens on it.
 
-Found by the fault soak, seed 290143, beside two other soaks: a node ended at its start because its
-address was in use, and the run waited two minutes for it. Ports that the system gives out at random
-go to outgoing connections and to other runs as well. Seed 290303, beside two soaks and a CI run,
-found the same among ports that the system does not give out: another run had looked meanwhile.
+Guards against a node that ends at its start because its address is in use, while the run waits two
+minutes for it. The fault soak found two causes: ephemeral ports went to outgoing connections and to
+other runs (seed 290143, beside two other soaks), and another run chose the same port, outside the
+ephemeral range, before the node listened on it (seed 290303, beside two soaks and a CI run).
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 from limedeck_lab import port_locks, processes
 
-GIVEN_OUT_AT_RANDOM = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
+EPHEMERAL_PORT_RANGE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
-def test_ports_are_not_those_that_the_system_gives_out_at_random() -> None:
-    lowest = int(GIVEN_OUT_AT_RANDOM.read_text().split()[0])
+def test_ports_are_below_the_ephemeral_range() -> None:
+    lowest = int(EPHEMERAL_PORT_RANGE.read_text().split()[0])
     assert all(1024 < port < lowest for port in processes.free_ports(200))
 
 
-def test_no_port_is_told_twice() -> None:
-    told = [port for _ in range(20) for port in processes.free_ports(20)]
-    assert len(set(told)) == len(told)
+def test_no_port_is_returned_twice() -> None:
+    ports = [port for _ in range(20) for port in processes.free_ports(20)]
+    assert len(set(ports)) == len(ports)
 
 
-def test_a_port_that_is_taken_is_passed_over() -> None:
+def test_a_port_in_use_is_not_free() -> None:
     (port,) = processes.free_ports(1)
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", port))
-        taken.listen()
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", port))
+        listener.listen()
         assert not processes.is_free("127.0.0.1", port)
     assert processes.is_free("127.0.0.1", port)
 
 
-def test_a_port_that_another_run_has_reserved_is_passed_over(tmp_path: pathlib.Path) -> None:
-    """It may be free when this run looks: the other one's process has not begun to listen."""
+def test_a_port_reserved_by_another_run_is_not_reserved_again(tmp_path: pathlib.Path) -> None:
+    """The port may be free at the check because the other run's process does not listen yet."""
     ours, theirs = port_locks.PortLocks(tmp_path), port_locks.PortLocks(tmp_path)
     assert theirs.try_reserve(12_000)
     assert not ours.try_reserve(12_000)
@@ -48,10 +48,10 @@
     assert ours.try_reserve(12_000)
 
 
-def test_a_reservation_ends_with_its_process_and_is_not_left_to_those_it_started(
+def test_a_reservation_ends_with_its_process_and_is_not_inherited(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A run that was killed leaves processes and files behind."""
+    """A killed run leaves processes and lock files behind."""
     program = (
         "import pathlib, subprocess, sys\n"
         "from limedeck_lab import port_locks\n"
--- a/tests/unit/test_report.py
+++ b/tests/unit/test_report.py
@@ -1,4 +1,4 @@
-"""Plots from records."""
+"""Plots drawn from records."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 SIZE = {"series": "nodes", "size": {"nodes": 3}, "follower": COST, "leader": COST}
 
 
-def test_each_kind_of_record_becomes_a_plot(tmp_path: Path) -> None:
+def test_each_kind_of_record_is_plotted(tmp_path: Path) -> None:
     file = tmp_path / "records.txt"
     lines = ["== a command", *(json.dumps(item) for item in (RUN, PHASE, SIZE, {"runs": 4}))]
     file.write_text("\n".join(lines))
@@ -26,7 +26,7 @@
     assert all(item.read_bytes().startswith(b"\x89PNG") for item in written)
 
 
-def test_a_broken_record_is_named_by_file_and_line(tmp_path: Path) -> None:
+def test_error_for_an_invalid_record_names_file_and_line(tmp_path: Path) -> None:
     file = tmp_path / "records.txt"
     file.write_text('{"runs": 4}\n{"runs":\n')
     with pytest.raises(UnreadableRecord, match=r"records\.txt:2"):
