--- a/src/limedeck_lab/experiment_keys.py
+++ b/src/limedeck_lab/experiment_keys.py
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class HotPeriod:
-    """A period in which one key gets this share of the traffic."""
+    """A period in which one key gets `share` of the traffic."""
 
     start: Seconds
     end: Seconds
@@ -93,7 +93,7 @@
     wrong_owner
         Attempts at which the owner known to the nodes had no lease for the key.
     moved
-        Positions that changed owner, as a multiple of all positions.
+        Positions that changed owner after their first assignment, as a multiple of all positions.
     """
 
     requests: int
--- a/src/limedeck_lab/processes.py
+++ b/src/limedeck_lab/processes.py
@@ -31,8 +31,8 @@
 
 FIRST_PORT, LAST_PORT = 10_240, 19_999
 """Range of `free_ports`, below the ephemeral ports (from 32,768 on) and the ports of
-`free_port_range`: another process could take a port of these between the check and the start of the
-process that is to listen there."""
+`free_port_range`: another process could take one of those between the check for a free port and the
+start of the process that is to listen on it."""
 _locks = port_locks.PortLocks()
 
 
@@ -49,7 +49,10 @@
 
 
 def free_port_range(count: int, host: str = "127.0.0.1", first: int = 20_000) -> int:
-    """Find the first of `count` consecutive free ports; the start depends on the process id."""
+    """Find the first of `count` consecutive free ports.
+
+    The search starts below the ephemeral ports, at an offset that depends on the process id.
+    """
     start = first + os.getpid() % 50 * 200
     while not all(is_free(host, start + offset) for offset in range(count)):
         start += count
--- a/tests/unit/test_experiment_keys.py
+++ b/tests/unit/test_experiment_keys.py
@@ -9,7 +9,7 @@
 """0.07 are late if all back ends get equal utilization and small lasting differences remain."""
 MAX_LOST_SHARE = 0.004
 MAX_MOVED = 0.5
-"""Positions that changed owner within the run, as a multiple of all positions."""
+"""Positions that changed owner within the 40 s of the run, as a multiple of all positions."""
 
 
 def test_key_balancing_keeps_late_responses_rare() -> None:
