--- a/tests/unit/test_free_ports.py
+++ b/tests/unit/test_free_ports.py
@@ -1,9 +1,10 @@
 """Port reservation: no other process may take a port before the process of the run listens on it.
 
 Guards against a node that ends at its start because its address is in use, while the run waits two
-minutes for it. The fault soak found two causes: ephemeral ports went to outgoing connections and to
-other runs (seed 290143, beside two other soaks), and another run chose the same port, outside the
-ephemeral range, before the node listened on it (seed 290303, beside two soaks and a CI run).
+minutes for it. The fault soak found this with ephemeral ports, which go to outgoing connections and
+to other runs (seed 290143, beside two other soaks), and with a port outside the ephemeral range that
+was taken between the check and the node's start (seed 290303, beside two soaks and a CI run). There
+another run can find the same port free, so runs reserve their ports.
 """
 
 from __future__ import annotations
