--- a/tests/unit/test_free_ports.py
+++ b/tests/unit/test_free_ports.py
@@ -3,8 +3,8 @@
 Guards against a node that ends at its start because its address is in use, while the run waits two
 minutes for it. The fault soak found this with ephemeral ports, which go to outgoing connections and
 to other runs (seed 290143, beside two other soaks), and with a port outside that range, which was
-taken between the check and the start of the node (seed 290303, beside two soaks and a CI run). There
-another run can find the same port free, so runs reserve their ports.
+taken between the check and the start of the node (seed 290303, beside two soaks and a CI run). In
+that time another run can find the same port free, so runs reserve their ports.
 """
 
 from __future__ import annotations
