--- a/src/limedeck_lab/commands/bench.py
+++ b/src/limedeck_lab/commands/bench.py
@@ -12,10 +12,10 @@
 
 
 class BenchControlCommand(Command):
-    """Measures what control costs real daemons."""
+    """Measures the cost of control in real daemons."""
 
     name = "bench control"
-    description = "Measure what control costs real daemons on loopback, and the slopes"
+    description = "Measure the cost of control in real daemons on loopback, and its slopes"
     options = [  # noqa: RUF012
         option("series", None, f"Any of {', '.join(SERIES)}", flag=False, multiple=True),
     ]
@@ -37,10 +37,10 @@
 
 
 class BenchRouterCommand(Command):
-    """Measures one router process."""
+    """Measures one router process against direct requests to the stand-in."""
 
     name = "bench router"
-    description = "Measure one router process against the stand-in asked directly"
+    description = "Measure one router process against direct requests to the stand-in"
 
     def handle(self) -> int:
         """Print one JSON line for each path."""
--- a/src/limedeck_lab/commands/experiment.py
+++ b/src/limedeck_lab/commands/experiment.py
@@ -13,18 +13,18 @@
 
 
 class ExperimentBalanceCommand(Command):
-    """Compares ways to share keys."""
+    """Compares ways to distribute keys over back ends."""
 
     name = "experiment balance"
     description = "Compare balance and churn with modulo and consistent hashing on one trace"
     options = [  # noqa: RUF012
-        option("backends", None, "At the start", flag=False, default="14"),
+        option("backends", None, "Back ends at the start", flag=False, default="14"),
         option("slices", None, "Slices for each back end at the start", flag=False, default="50"),
-        option("seed", None, "Of keys and loads", flag=False, default="1"),
+        option("seed", None, "Seed of keys and loads", flag=False, default="1"),
     ]
 
     def handle(self) -> int:
-        """Print one JSON line for each way and phase."""
+        """Print one JSON line for each method and phase."""
         results = run_experiment(
             int(self.option("backends")), int(self.option("slices")), int(self.option("seed"))
         )
@@ -34,13 +34,13 @@
 
 
 class ExperimentKeysCommand(Command):
-    """Shows how soon keyed requests are answered while keys are balanced."""
+    """Measures the latency of keyed requests while keys are balanced."""
 
     name = "experiment keys"
-    description = "Simulate how soon keyed requests are answered while keys are balanced"
+    description = "Simulate the latency of keyed requests while keys are balanced"
     options = [  # noqa: RUF012
         option("backends", None, "Back ends of the service", flag=False, default="128"),
-        option("rate", None, "Requests a second", flag=False, default="771"),
+        option("rate", None, "Requests per second", flag=False, default="771"),
         option("seeds", None, "Runs, with seeds from 1 on", flag=False, default="3"),
     ]
 
@@ -54,15 +54,15 @@
 
 
 class ExperimentChoiceCommand(Command):
-    """Shows how evenly many nodes use the back ends of a service."""
+    """Measures how evenly many nodes use the back ends of a service."""
 
     name = "experiment choice"
     description = "Simulate how evenly many nodes use a service's back ends"
     options = [  # noqa: RUF012
         option("nodes", None, "Nodes", flag=False, default="195"),
         option("backends", None, "Back ends of the service", flag=False, default="61"),
-        option("rate", None, "Requests a second of all nodes", flag=False, default="235"),
-        option("work", None, "Mean seconds to work on one", flag=False, default="0.26"),
+        option("rate", None, "Requests per second of all nodes", flag=False, default="235"),
+        option("work", None, "Mean service time in seconds", flag=False, default="0.26"),
         option(
             "telling",
             None,
--- a/src/limedeck_lab/commands/explain.py
+++ b/src/limedeck_lab/commands/explain.py
@@ -18,10 +18,10 @@
 
 
 class ExplainCommand(Command):
-    """Tells the story of a request or of a key from nodes' logs."""
+    """Shows the history of a request or of a key from nodes' logs."""
 
     name = "explain"
-    description = "Tell what happened to a request, or to a key, from the logs of nodes"
+    description = "Show what happened to a request, or to a key, from the logs of nodes"
     arguments = [  # noqa: RUF012
         argument("subject", "A request's id, or SERVICE:KEY with a key's position"),
         argument("logs", "Files, or directories of files", multiple=True),
@@ -32,7 +32,7 @@
     ]
 
     def handle(self) -> int:
-        """Read the logs and print the story."""
+        """Read the logs and print the history."""
         try:
             since = self._time("since", -NO_BOUND)
             until = self._time("until", NO_BOUND)
@@ -41,8 +41,8 @@
             self.line_error(f"limedeck-lab explain: {error}")
             return EXIT_BAD_INPUT
         try:
-            service, mark, key = self.argument("subject").rpartition(":")
-            if mark and key.isdecimal():
+            service, separator, key = self.argument("subject").rpartition(":")
+            if separator and key.isdecimal():
                 story = story_of_key(lines, service, int(key), since, until)
             else:
                 story = story_of_request(lines, self.argument("subject"))
--- a/src/limedeck_lab/commands/load.py
+++ b/src/limedeck_lab/commands/load.py
@@ -19,47 +19,49 @@
 
 
 class DemoCommand(Command):
-    """Shows a whole site at work."""
+    """Runs a complete site and sends it requests."""
 
     name = "demo"
-    description = "Run a whole site in separate processes and send it requests"
+    description = "Run a complete site in separate processes and send it requests"
     options = [  # noqa: RUF012
         option("site", None, "Site file", flag=False, default="examples/kostanay.toml"),
-        option("requests", None, "How many", flag=False, default="2000"),
+        option("requests", None, "Number of requests", flag=False, default="2000"),
     ]
 
     def handle(self) -> int:
-        """Run; succeed only if every request has its whole answer."""
+        """Run the site; succeed only if every request has a complete response."""
         site = load_site(self.option("site"))
         with running_cluster(site) as cluster:
             result = anyio.run(run_demo, cluster, int(self.option("requests")), self.line_error)
         for reason, count in sorted(result.reasons.items()):
             self.line_error(f"{count} times: {reason}")
         self.line(json.dumps(result.to_dict()))
-        return EXIT_OK if _is_faultless(result) else EXIT_FAILED
+        return EXIT_OK if _has_succeeded(result) else EXIT_FAILED
 
 
-def _is_faultless(result: LoadResult) -> bool:
+def _has_succeeded(result: LoadResult) -> bool:
     faults = result.wrong + result.duplicated + result.not_run_but_ran
     return result.whole == result.sent and faults == 0
 
 
 class LoadCommand(Command):
-    """Sends requests to running nodes."""
+    """Sends a site's requests to running nodes."""
 
     name = "load"
-    description = "Send a site's requests to nodes that run already"
+    description = "Send a site's requests to nodes that are already running"
     options = [  # noqa: RUF012
         option("site", None, "Site file", flag=False, default="examples/kostanay.toml"),
         option("node", None, "A node's caller address", flag=False, multiple=True),
-        option("requests", None, "How many", flag=False, default="1000"),
-        option("rate", None, "Requests a second; 0 for no limit", flag=False, default="0"),
-        option("concurrency", None, "In flight at the same time", flag=False, default="12"),
-        option("seed", None, "Of the drawn requests", flag=False, default="1"),
+        option("requests", None, "Number of requests", flag=False, default="1000"),
+        option("rate", None, "Requests per second; 0 for no limit", flag=False, default="0"),
+        option(
+            "concurrency", None, "Requests in flight at the same time", flag=False, default="12"
+        ),
+        option("seed", None, "Seed of the drawn requests", flag=False, default="1"),
     ]
 
     def handle(self) -> int:
-        """Send, then print the counts as one JSON line."""
+        """Send the requests and print the counts as one JSON line."""
         nodes = self.option("node")
         if not nodes:
             self.line_error("limedeck-lab load: at least one --node is needed")
--- a/src/limedeck_lab/commands/report.py
+++ b/src/limedeck_lab/commands/report.py
@@ -12,7 +12,7 @@
 
 
 class ReportCommand(Command):
-    """Draws plots from records."""
+    """Draws plots from the records of other commands."""
 
     name = "report"
     description = "Draw plots from the JSON lines of simulate, bench control, experiment balance"
@@ -20,8 +20,8 @@
     options = [option("to", None, "Directory", flag=False, default="docs/plots")]  # noqa: RUF012
 
     def handle(self) -> int:
-        """Draw and name what was written."""
-        # Imported here: the plots' library is an extra that no other command needs.
+        """Draw the plots and print the names of the files written."""
+        # Imported here, as the plotting library is an extra that no other command needs.
         from limedeck_lab.report import UnreadableRecord, read_records, write_plots
 
         try:
--- a/src/limedeck_lab/commands/simulate.py
+++ b/src/limedeck_lab/commands/simulate.py
@@ -26,8 +26,8 @@
 SECONDS_PER_MINUTE = 60
 OWNERS = "owners"
 VOTERS = "voters"
-OF_VOTERS_ALONE = ("cost", "rate", "interval")
-"""Options that only the first build's simulation has."""
+VOTERS_ONLY_OPTIONS = ("cost", "rate", "interval")
+"""Options that only the simulation of the first build has."""
 Plan = TypeVar("Plan")
 Report = TypeVar("Report")
 
@@ -37,7 +37,7 @@
 
 
 def run_plan(plan: RunPlan) -> RunReport:
-    """Run one plan of the first build's simulation, in this process."""
+    """Run one plan of the simulation of the first build in this process."""
     return World(plan).run()
 
 
@@ -50,20 +50,22 @@
         option("core", None, f"{OWNERS}, or {VOTERS} (first build)", flag=False, default=OWNERS),
         option("site", None, "kostanay, nordeste, or a site file", flag=False, default="kostanay"),
         option("seed", None, "First seed", flag=False, default="1"),
-        option("runs", None, "How many seeds", flag=False, default="1"),
+        option("runs", None, "Number of seeds", flag=False, default="1"),
         option("workers", None, "Runs at the same time", flag=False, default="1"),
         option("minutes", None, "Simulated minutes of each run", flag=False, default="10"),
-        option("faults", None, "Names with commas, all, or none", flag=False, default="all"),
+        option(
+            "faults", None, "Names separated by commas, all, or none", flag=False, default="all"
+        ),
         option("interval", None, "Mean seconds between faults (voters: 8)", flag=False),
-        option("rate", None, "Callers' requests a second (voters: 20)", flag=False),
+        option("rate", None, "Callers' requests per second (voters: 20)", flag=False),
         option("scale", None, "Fraction of the site's size", flag=False, default="1"),
         option("cost", None, "Count messages, bytes and processor time of control (voters)"),
-        option("sabotage", None, "Break a rule; an unknown name lists them", flag=False),
+        option("sabotage", None, "Rule to break; an unknown name lists the known ones", flag=False),
         option("json", None, "Print one JSON line for each run and one for all"),
     ]
 
     def handle(self) -> int:
-        """Run every seed; fail if any run was violated."""
+        """Run every seed; fail if any run violated an invariant."""
         try:
             if self.option("core") == OWNERS:
                 return self._run_owners()
@@ -77,18 +79,18 @@
     # ------------------------------------------------------------------ the product's control
 
     def _run_owners(self) -> int:
-        for name in OF_VOTERS_ALONE:
+        for name in VOTERS_ONLY_OPTIONS:
             if self.option(name):
-                raise BadOption(f"--{name} goes with --core {VOTERS} only")
+                raise BadOption(f"--{name} is an option of --core {VOTERS} only")
         faults = self._faults(OWNER_FAULTS, (*OWNER_FAULTS, *BY_NAME_ALONE))
         sabotage = self._sabotage(SABOTAGES)
-        nodes, backends = _size_of(self._site())
+        nodes, backends = _site_size(self._site())
         seconds = float(self.option("minutes")) * SECONDS_PER_MINUTE
         plans = [
             runs.RunPlan(seed, seconds, faults, nodes, backends, sabotage) for seed in self._seeds()
         ]
         reports = []
-        for report in self._each(runs.run_plan, plans):
+        for report in self._run_plans(runs.run_plan, plans):
             for violation in report.violations:
                 self.line_error(f"seed {report.plan.seed}: {violation}")
             self._print_json(report.as_dict())
@@ -117,10 +119,10 @@
             for seed in self._seeds()
         ]
         reports = []
-        for report in self._each(run_plan, plans):
+        for report in self._run_plans(run_plan, plans):
             if report.violations:
                 for line in report.history:
-                    self.line_error(f"{line.at:10.4f}  {line.what}")
+                    self.line_error(f"{line.at:10.4f}  {line.text}")
             self._print_json(report.to_dict())
             reports.append(report)
         if len(reports) > 1:
@@ -129,10 +131,10 @@
 
     # ------------------------------------------------------------------ options
 
-    def _faults(self, usual: tuple[str, ...], known: tuple[str, ...]) -> tuple[str, ...]:
+    def _faults(self, defaults: tuple[str, ...], known: tuple[str, ...]) -> tuple[str, ...]:
         text = self.option("faults")
         if text == "all":
-            return usual
+            return defaults
         names = tuple(name for name in text.split(",") if name not in ("", "none"))
         unknown = [name for name in names if name not in known]
         if unknown:
@@ -155,7 +157,7 @@
         first = int(self.option("seed"))
         return range(first, first + int(self.option("runs")))
 
-    def _each(self, run: Callable[[Plan], Report], plans: list[Plan]) -> Iterator[Report]:
+    def _run_plans(self, run: Callable[[Plan], Report], plans: list[Plan]) -> Iterator[Report]:
         workers = int(self.option("workers"))
         if workers == 1:
             yield from map(run, plans)
@@ -168,16 +170,16 @@
             self.line(json.dumps(report))
 
 
-def _size_of(site: Site) -> tuple[int, int]:
-    """Nodes, and back ends of the keyed service that has most of them."""
+def _site_size(site: Site) -> tuple[int, int]:
+    """Return the numbers of nodes, and of back ends of the largest keyed service."""
     keyed = [item.backends for item in site.services if item.ownership == "keyed"]
     if not keyed:
-        raise BadOption("the site has no service with keys")
+        raise BadOption("the site has no keyed service")
     return site.nodes_per_zone * len(site.zones), max(keyed)
 
 
 def summarise(reports: list[RunReport]) -> dict[str, object]:
-    """Add up the reports of several seeds of the first build's simulation."""
+    """Summarise the reports of several seeds of the simulation of the first build."""
     by_fault: dict[str, float] = {}
     requests: dict[str, int] = {}
     for report in reports:
--- a/src/limedeck_lab/commands/standins.py
+++ b/src/limedeck_lab/commands/standins.py
@@ -30,13 +30,13 @@
 
 
 class PlatformCommand(Command):
-    """Stands in for the platform."""
+    """Runs a stand-in for the platform."""
 
     name = "platform"
     description = "Run a stand-in for table service, object store and machine list"
     options = [  # noqa: RUF012
-        option("address", None, "IP number and port", flag=False, default="127.0.0.1:7000"),
-        option("rate", None, "Calls a second; 0 for no limit", flag=False, default="0"),
+        option("address", None, "IP address and port", flag=False, default="127.0.0.1:7000"),
+        option("rate", None, "Calls per second; 0 for no limit", flag=False, default="0"),
     ]
 
     def handle(self) -> int:
@@ -52,7 +52,7 @@
 
 
 class BackendCommand(Command):
-    """Stands in for back ends."""
+    """Runs stand-ins for back ends."""
 
     name = "backend"
     description = "Run stand-ins for back ends, several in one process"
--- a/src/limedeck_lab/simulation/__init__.py
+++ b/src/limedeck_lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The simulation: the product's own cores around simulated time, network and faults."""
+"""The simulation: the product's own cores run on simulated time, network and faults."""
--- a/src/limedeck_lab/simulation/backends.py
+++ b/src/limedeck_lab/simulation/backends.py
@@ -1,4 +1,4 @@
-"""A simulated back end: the stand-in's core with slots, on simulated time."""
+"""A simulated back end: the stand-in's core on simulated time, with slots that run requests."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from limedeck_lab.simulation.processes import SimulatedProcess
 from limedeck_lab.standins.backend import BackendRules, HollowBackend, Refusal, Work
 
-Answer = Refusal | None
-"""None: the request was run and this is its whole answer."""
+BackendResponse = Refusal | None
+"""A refusal, or None if the request was run and its response is complete."""
 
 
 class BackendObserver(Protocol):
-    """What is told of every change of what a back end may serve."""
+    """Notified of changes of the ranges that back ends may serve, and of requests that they run."""
 
     def serving_changed(self, backend: SimulatedBackend) -> None:
-        """A grant changed its ranges or revived its lease, or the process changed state."""
+        """Handle a changed set of ranges, a renewed lease or a change of the process state."""
 
     def executed(self, backend: SimulatedBackend, work: Work) -> None:
-        """It did a request's effect."""
+        """Handle that a back end executed a request."""
 
 
 @dataclass(frozen=True)
 class BackendSize:
-    """What a back end can do.
+    """Capacity of a back end.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
 
 
 class SimulatedBackend(SimulatedProcess):
-    """One back end."""
+    """A back end that runs requests in slots and queues a limited number of others."""
 
     def __init__(
         self,
@@ -66,16 +66,16 @@
         self.size = size
         self.rules = rules
         self.executions: Counter[str] = Counter()
-        """Of all runs."""
+        """Executions of each request, by its id, over all runs of the process."""
         self.core: HollowBackend
         self.group = GroupId("")
         self._random = generator
         self._observer = observer
-        self._waiting: deque[tuple[int, Callable[[Answer], None]]] = deque()
+        self._queue: deque[tuple[int, Callable[[BackendResponse], None]]] = deque()
         self._busy_slots = 0
 
     def start(self) -> None:
-        """Start a new run that owns nothing."""
+        """Start a new run that owns no ranges."""
         super().start()
         self.core = HollowBackend(
             self.configured.backend_id,
@@ -86,7 +86,7 @@
             self.rules,
         )
         self.core.executions = self.executions
-        self._waiting.clear()
+        self._queue.clear()
         self._busy_slots = 0
         self._observer.serving_changed(self)
 
@@ -96,17 +96,17 @@
         self._observer.serving_changed(self)
 
     def freeze(self) -> None:
-        """Stop doing anything."""
+        """Suspend the process."""
         super().freeze()
         self._observer.serving_changed(self)
 
     def thaw(self) -> None:
-        """Go on as if nothing had happened."""
+        """Resume the process."""
         super().thaw()
         self._observer.serving_changed(self)
 
     def handle_lease(self, request: LeaseRequest) -> LeaseReply:
-        """Take in a probe or a grant."""
+        """Handle a probe or a grant."""
         now = self.clock.read()
         held = now < self.core.held_until
         version = self.core.owned_version
@@ -115,16 +115,16 @@
             self._observer.serving_changed(self)
         return reply
 
-    def may_serve(self) -> list[tuple[int, int]]:
-        """Ranges that this run may serve by its own clock, frozen or not."""
+    def servable_ranges(self) -> list[tuple[int, int]]:
+        """Return the ranges that this run may serve by its own clock, also while frozen."""
         return self.core.owned_ranges(self.clock.read()) if self.is_up else []
 
     def is_serving(self) -> bool:
         """Whether it runs and its lease holds."""
         return self.is_running and self.clock.read() < self.core.held_until
 
-    def serving_key(self) -> tuple[tuple[int, int], int, bool]:
-        """Equal for as long as it serves the same ranges."""
+    def serving_state(self) -> tuple[tuple[int, int], int, bool]:
+        """Return a value that stays equal for as long as the back end serves the same ranges."""
         run = self.run_number
         return (
             (self.core.owned_version, run, self.is_serving()) if self.is_up else ((0, 0), 0, False)
@@ -132,37 +132,37 @@
 
     # ------------------------------------------------------------------ work
 
-    def handle_work(self, work: Work, answer: Callable[[Answer], None]) -> None:
-        """Take a request on, or refuse it."""
+    def handle_work(self, work: Work, respond: Callable[[BackendResponse], None]) -> None:
+        """Queue a request, or refuse it."""
         number = self.core.admit(work, self.clock.read())
         if isinstance(number, Refusal):
-            answer(number)
+            respond(number)
             return
-        self._waiting.append((number, answer))
+        self._queue.append((number, respond))
         self._fill_slots()
 
     def _fill_slots(self) -> None:
-        while self._waiting and self._busy_slots < self.size.slots:
-            number, answer = self._waiting.popleft()
+        while self._queue and self._busy_slots < self.size.slots:
+            number, respond = self._queue.popleft()
             self._busy_slots += 1
             run = self.run_number
-            took = self.size.service_seconds * (0.5 + self._random.random())
+            service_time = self.size.service_seconds * (0.5 + self._random.random())
 
             def finish(
                 run: int = run,
                 number: int = number,
-                answer: Callable[[Answer], None] = answer,
+                respond: Callable[[BackendResponse], None] = respond,
             ) -> None:
-                self.deliver_to_run(run, lambda: self._finish(number, answer))
+                self.deliver_to_run(run, lambda: self._finish(number, respond))
 
-            self.kernel.after(took, finish)
+            self.kernel.after(service_time, finish)
 
-    def _finish(self, number: int, answer: Callable[[Answer], None]) -> None:
+    def _finish(self, number: int, respond: Callable[[BackendResponse], None]) -> None:
         work = self.core.in_flight[number]
         refusal = self.core.execute(number, self.clock.read())
         if refusal is None:
             self._observer.executed(self, work)
         self.core.finish(number)
         self._busy_slots -= 1
-        answer(refusal)
+        respond(refusal)
         self._fill_slots()
--- a/src/limedeck_lab/simulation/callers.py
+++ b/src/limedeck_lab/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Simulated callers: requests through the product's request cores, with everything that is lost."""
+"""Simulated callers, whose requests pass through the product's request cores and may be lost."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from limedeck.routing.request import Attempt, Refuse, RequestCommand, RequestCore, RetryBudget, Wait
 from limedeck.routing.rules import RequestTarget, deadline_of, match_request
 from limedeck_lab.load import draw_key
-from limedeck_lab.simulation.backends import Answer, SimulatedBackend
+from limedeck_lab.simulation.backends import BackendResponse, SimulatedBackend
 from limedeck_lab.simulation.kernel import Kernel
 from limedeck_lab.simulation.network import Network
 from limedeck_lab.simulation.nodes import SimulatedNode
@@ -20,14 +20,14 @@
 from limedeck_lab.standins.backend import Refusal, Work
 
 CONNECT_TIMEOUT: Seconds = 1.0
-CALLER_PATIENCE: Seconds = 15.0
-CALLER_RETRY: Seconds = 0.05
-CALLER_ATTEMPTS = 40
+CALLER_TIMEOUT: Seconds = 15.0
+CALLER_RETRY_DELAY: Seconds = 0.05
+MAX_CALLER_ATTEMPTS = 40
 
 
 @dataclass
 class RequestRecord:
-    """One request and what its caller was told.
+    """A request and the outcome that its caller received.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
 
 @dataclass
 class RequestCounts:
-    """What became of all requests."""
+    """Counts of all requests by outcome, and the latencies of those with a complete response."""
 
     sent: int = 0
     whole: int = 0
@@ -60,7 +60,7 @@
     Parameters
     ----------
     rate
-        Requests a second, over all kinds.
+        Requests per second, over all kinds.
     """
 
     def __init__(
@@ -84,16 +84,17 @@
         self.stopped = False
         self._random = generator
         self._weights = [kind.weight for kind in site.requests]
-        self._safe = {
-            kind.name: kind.method in self._repeatable(kind.service) for kind in site.requests
+        self._is_repeatable = {
+            kind.name: kind.method in self._repeatable_methods(kind.service)
+            for kind in site.requests
         }
 
-    def _repeatable(self, service: str) -> list[str]:
+    def _repeatable_methods(self, service: str) -> list[str]:
         return next(item.repeatable_methods for item in self.site.services if item.name == service)
 
     def is_unrepeatable(self, record: RequestRecord) -> bool:
-        """Whether a request may run at most once."""
-        return not self._safe[record.kind.name]
+        """Whether the request may run at most once."""
+        return not self._is_repeatable[record.kind.name]
 
     def begin(self) -> None:
         """Start sending."""
@@ -113,34 +114,36 @@
         record = RequestRecord(f"request-{self.counts.sent}", kind, self.kernel.now)
         self.records[record.request_id] = record
         key = draw_key(kind, self._random)
-        self._send_to_node(record, key, self._random.randrange(len(self.nodes)), CALLER_ATTEMPTS)
+        self._send_to_node(
+            record, key, self._random.randrange(len(self.nodes)), MAX_CALLER_ATTEMPTS
+        )
 
     def _send_to_node(
         self, record: RequestRecord, key: str, index: int, attempts_left: int
     ) -> None:
-        """Reach a node; one that cannot be connected to is passed over."""
+        """Send a request to a node, or after a delay to the next if this one is not reachable."""
         node = self.nodes[index % len(self.nodes)]
         if attempts_left == 0:
             self.finish(record, Outcome.NOT_RUN, "no node reachable")
             return
-        if not node.takes_callers():
+        if not node.accepts_requests():
 
             def retry() -> None:
                 self._send_to_node(record, key, index + 1, attempts_left - 1)
 
-            self.kernel.after(CALLER_RETRY, retry)
+            self.kernel.after(CALLER_RETRY_DELAY, retry)
             return
         run = node.run_number
-        journey = RequestJourney(self, record, key, node)
+        request = SimulatedRequest(self, record, key, node)
 
         def arrive() -> None:
-            node.deliver_to_run(run, journey.begin)
+            node.deliver_to_run(run, request.begin)
 
         self.kernel.after(self.site.caller_delay_ms / 1000, arrive)
-        self.kernel.after(CALLER_PATIENCE, journey.give_up)
+        self.kernel.after(CALLER_TIMEOUT, request.time_out)
 
     def finish(self, record: RequestRecord, outcome: Outcome, reason: str) -> None:
-        """Tell the caller; only the first answer counts."""
+        """Record the outcome that the caller receives; only the first one counts."""
         if record.outcome is not None:
             return
         record.outcome = outcome
@@ -159,8 +162,8 @@
             counts.unknown += 1
 
 
-class RequestJourney:
-    """One request's way through one node."""
+class SimulatedRequest:
+    """A request on its way through one node."""
 
     def __init__(
         self, callers: SimulatedCallers, record: RequestRecord, key: str, node: SimulatedNode
@@ -173,18 +176,18 @@
         self._target: RequestTarget
         self._core: RequestCore
 
-    def give_up(self) -> None:
-        """The caller waits no longer."""
+    def time_out(self) -> None:
+        """End the request with an unknown outcome, as the caller's timeout has passed."""
         self._callers.finish(self._record, Outcome.UNKNOWN, "caller timed out")
 
     def begin(self) -> None:
-        """Route the request; the node has just received it."""
+        """Route the request when the node receives it."""
         kind = self._record.kind
         node = self._node
         now = node.clock.read()
         path = f"/{kind.service}/{kind.path.format(key=self._key)}"
         if node.core.config.service(kind.service) is None:
-            self._answer(Outcome.NOT_RUN, "unknown-service")
+            self._respond(Outcome.NOT_RUN, "unknown-service")
             return
         self._target = match_request(node.core.config, kind.method, path, "", {})
         budget = node.retry_budgets.setdefault(kind.service, RetryBudget())
@@ -193,12 +196,12 @@
         self._core = RequestCore(
             self._record.request_id, self._target, deadline, node.router, budget, now
         )
-        self._follow(self._core.next_command(now))
+        self._execute(self._core.next_command(now))
 
-    def _later(self, action: Callable[[], None]) -> Callable[[], None]:
+    def _bind_to_run(self, action: Callable[[], None]) -> Callable[[], None]:
         return lambda: self._node.deliver_to_run(self._run, action)
 
-    def _follow(self, command: RequestCommand) -> None:
+    def _execute(self, command: RequestCommand) -> None:
         if isinstance(command, Attempt):
             self._attempt(command)
         elif isinstance(command, Wait):
@@ -209,15 +212,15 @@
     def _wait(self, wait: Wait) -> None:
         span = max(wait.until - self._node.clock.read(), 0.0)
 
-        def go_on() -> None:
-            self._follow(self._core.next_command(self._node.clock.read()))
+        def resume() -> None:
+            self._execute(self._core.next_command(self._node.clock.read()))
 
-        self._callers.kernel.after(span, self._later(go_on))
+        self._callers.kernel.after(span, self._bind_to_run(resume))
 
     def _refuse(self, refuse: Refuse) -> None:
-        self._answer(refuse.outcome, refuse.reason.value)
+        self._respond(refuse.outcome, refuse.reason.value)
 
-    def _answer(self, outcome: Outcome, reason: str) -> None:
+    def _respond(self, outcome: Outcome, reason: str) -> None:
         callers = self._callers
         delay = callers.site.caller_delay_ms / 1000
         callers.kernel.after(delay, lambda: callers.finish(self._record, outcome, reason))
@@ -228,14 +231,14 @@
         backend = self._callers.backends[attempt.backend.backend_id]
         state = self._node.backend_states.state(attempt.backend.backend_id)
         state.outstanding += 1
-        ended = AttemptEnd(self)
+        attempt_end = AttemptEnd(self)
         network = self._callers.network
         source, destination = self._node.place, backend.place
         if network.is_cut(source.machine, destination.machine) or not backend.is_up:
             refused_at_once = not backend.is_up
             span = 2 * network.delay(source, destination) if refused_at_once else CONNECT_TIMEOUT
             self._callers.kernel.after(
-                span, self._later(lambda: ended.fail(FailurePhase.NOT_CONNECTED))
+                span, self._bind_to_run(lambda: attempt_end.fail(FailurePhase.NOT_CONNECTED))
             )
             return
         backend_run = backend.run_number
@@ -245,74 +248,81 @@
             self._callers.is_unrepeatable(self._record),
         )
 
-        def answer(result: Answer) -> None:
+        def respond(result: BackendResponse) -> None:
             network.send(
-                destination, source, self._later(lambda: ended.take(result)), reliable=True
+                destination,
+                source,
+                self._bind_to_run(lambda: attempt_end.handle_response(result)),
+                reliable=True,
             )
 
         def arrive() -> None:
-            backend.deliver_to_run(backend_run, lambda: backend.handle_work(work, answer))
+            backend.deliver_to_run(backend_run, lambda: backend.handle_work(work, respond))
 
         network.send(source, destination, arrive, reliable=True)
-        left = max(attempt.deadline - self._node.clock.read(), 0.0)
-        self._callers.kernel.after(left, self._later(lambda: ended.fail(FailurePhase.AWAITING)))
-        self._watch_for_death(backend, backend_run, ended)
+        remaining = max(attempt.deadline - self._node.clock.read(), 0.0)
+        self._callers.kernel.after(
+            remaining, self._bind_to_run(lambda: attempt_end.fail(FailurePhase.AWAITING))
+        )
+        self._watch_connection(backend, backend_run, attempt_end)
 
-    def _watch_for_death(self, backend: SimulatedBackend, run: int, ended: AttemptEnd) -> None:
-        """A killed process's connections break soon after."""
+    def _watch_connection(
+        self, backend: SimulatedBackend, run: int, attempt_end: AttemptEnd
+    ) -> None:
+        """Fail the attempt soon after the back end was killed, as its connections break."""
 
-        def look() -> None:
-            if ended.is_over:
+        def check() -> None:
+            if attempt_end.is_over:
                 return
             if backend.run_number != run:
-                ended.fail(FailurePhase.AWAITING)
+                attempt_end.fail(FailurePhase.AWAITING)
                 return
-            self._callers.kernel.after(0.05, self._later(look))
+            self._callers.kernel.after(0.05, self._bind_to_run(check))
 
-        self._callers.kernel.after(0.05, self._later(look))
+        self._callers.kernel.after(0.05, self._bind_to_run(check))
 
     def attempt_failed(self, phase: FailurePhase, not_owner: bool) -> None:
-        """An attempt ended without a whole answer."""
-        self._release()
+        """Handle an attempt that ended without a complete response."""
+        self._decrement_outstanding()
         now = self._node.clock.read()
         state = self._node.backend_states.state(self._backend_id())
         if not not_owner:
             state.record_failure(now)
-        self._follow(self._core.handle_failure(phase, now, not_owner))
+        self._execute(self._core.handle_failure(phase, now, not_owner))
 
-    def attempt_answered(self) -> None:
-        """An attempt ended with a whole answer."""
-        self._release()
+    def attempt_succeeded(self) -> None:
+        """Handle an attempt that ended with a complete response."""
+        self._decrement_outstanding()
         self._node.backend_states.state(self._backend_id()).record_response(0.001)
-        self._answer(Outcome.WHOLE, "")
+        self._respond(Outcome.WHOLE, "")
 
     def _backend_id(self) -> str:
         attempt = self._core.in_flight
         return attempt.backend.backend_id if attempt else ""
 
-    def _release(self) -> None:
+    def _decrement_outstanding(self) -> None:
         self._node.backend_states.state(self._backend_id()).outstanding -= 1
 
 
 @dataclass
 class AttemptEnd:
-    """Makes sure that an attempt ends only once."""
+    """End of an attempt, which takes effect only once."""
 
-    journey: RequestJourney
+    request: SimulatedRequest
     is_over: bool = False
 
     def fail(self, phase: FailurePhase, not_owner: bool = False) -> None:
-        """End without a whole answer."""
+        """End without a complete response."""
         if not self.is_over:
             self.is_over = True
-            self.journey.attempt_failed(phase, not_owner)
+            self.request.attempt_failed(phase, not_owner)
 
-    def take(self, answer: Answer) -> None:
-        """End with what the back end said; a late answer goes nowhere."""
+    def handle_response(self, response: BackendResponse) -> None:
+        """End with the back end's response; one that arrives after the end is ignored."""
         if self.is_over:
             return
-        if answer is not None:
-            self.fail(FailurePhase.REFUSED, answer is Refusal.NOT_OWNER)
+        if response is not None:
+            self.fail(FailurePhase.REFUSED, response is Refusal.NOT_OWNER)
             return
         self.is_over = True
-        self.journey.attempt_answered()
+        self.request.attempt_succeeded()
--- a/src/limedeck_lab/simulation/faults.py
+++ b/src/limedeck_lab/simulation/faults.py
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from limedeck_lab.simulation.world import World
 
-QUIET_START: Seconds = 15.0
-"""No faults before the system has come up."""
-QUIET_END: Seconds = 40.0
-"""No new faults so shortly before the end, so that the run ends healed."""
+FAULT_FREE_START: Seconds = 15.0
+"""No faults are injected before the system has started up."""
+FAULT_FREE_END: Seconds = 40.0
+"""No faults are injected in this time before the end, so that the system has recovered by then."""
 
 LONG_OUTAGE: Seconds = 1800.0
 
 Injector = Callable[["World", random.Random], str]
-"""Begins a fault that ends by itself; returns what it was aimed at."""
+"""Starts a fault that ends by itself; returns a description of its target."""
 
 
 def _pick(processes: Sequence[SimulatedProcess], generator: random.Random) -> SimulatedProcess:
@@ -38,19 +38,19 @@
 
 def _kill(world: World, process: SimulatedProcess, down_for: Seconds) -> None:
     process.kill()
-    world.unlist_when_gone(process)
+    world.unlist_unless_restarted(process)
     _restart_later(world, process, down_for)
 
 
 def kill_backend(world: World, generator: random.Random) -> str:
-    """A back end is lost and comes back, with nothing kept, after some seconds."""
+    """A back end is killed and restarts without its state after some seconds."""
     backend = _pick(world.backends, generator)
     _kill(world, backend, generator.uniform(0.1, 20.0))
     return backend.place.machine
 
 
 def freeze_backend(world: World, generator: random.Random) -> str:
-    """A back end freezes and goes on as if nothing had happened."""
+    """A back end freezes and resumes with its state unchanged."""
     backend = _pick(world.backends, generator)
     backend.freeze()
     world.kernel.after(generator.uniform(0.1, 8.0), backend.thaw)
@@ -58,21 +58,21 @@
 
 
 def kill_node(world: World, generator: random.Random) -> str:
-    """A node is lost and comes back as another run."""
+    """A node is killed and restarts as another run."""
     node = _pick(world.nodes, generator)
     _kill(world, node, generator.uniform(0.1, 15.0))
     return node.place.machine
 
 
 def kill_leader(world: World, generator: random.Random) -> str:
-    """The leader of a group is lost and comes back as another run."""
+    """The leader of a group is killed and restarts as another run."""
     node = world.leader() or _pick(world.nodes, generator)
     _kill(world, node, generator.uniform(0.5, 15.0))
     return node.place.machine
 
 
 def freeze_leader(world: World, generator: random.Random) -> str:
-    """The leader of a group freezes and goes on as if nothing had happened."""
+    """The leader of a group freezes and resumes with its state unchanged."""
     node = world.leader() or _pick(world.nodes, generator)
     node.freeze()
     world.kernel.after(generator.uniform(0.1, 8.0), node.thaw)
@@ -80,7 +80,7 @@
 
 
 def freeze_node(world: World, generator: random.Random) -> str:
-    """A node freezes and goes on as if nothing had happened."""
+    """A node freezes and resumes with its state unchanged."""
     node = _pick(world.nodes, generator)
     node.freeze()
     world.kernel.after(generator.uniform(0.1, 8.0), node.thaw)
@@ -88,15 +88,15 @@
 
 
 def stop_node(world: World, generator: random.Random) -> str:
-    """A node is stopped as planned and started again later."""
+    """A node is stopped gracefully and restarted later."""
     node = world.nodes[generator.randrange(len(world.nodes))]
-    node.stop_as_planned()
+    node.stop_gracefully()
     _restart_later(world, node, generator.uniform(3.0, 15.0))
     return node.place.machine
 
 
 def partition(world: World, generator: random.Random) -> str:
-    """Some machines are cut off from the others, both ways or one way."""
+    """The network between some machines and the others is cut, in both directions or in one."""
     machines = [process.place.machine for process in (*world.nodes, *world.backends)]
     size = generator.randint(1, max(len(machines) // 2, 1))
     some = frozenset(generator.sample(machines, size))
@@ -126,7 +126,7 @@
 
 
 def bad_network(world: World, generator: random.Random) -> str:
-    """Messages between nodes are lost, doubled, delayed and reordered."""
+    """Messages are lost, duplicated, delayed and reordered."""
     world.network.faults = NetworkFaults(
         loss=generator.uniform(0.0, 0.3),
         duplication=generator.uniform(0.0, 0.3),
@@ -141,7 +141,7 @@
 
 
 def late_messages(world: World, generator: random.Random) -> str:
-    """Some messages are late by up to most of a lease and arrive after newer ones."""
+    """Some messages are delayed by up to most of a lease and arrive after newer ones."""
     world.network.faults = NetworkFaults(
         extra_delay=generator.uniform(0.8, 1.8), late_share=generator.uniform(0.1, 0.3)
     )
@@ -154,31 +154,31 @@
 
 
 def store_down(world: World, generator: random.Random) -> str:
-    """The table does not answer, for long."""
+    """The table does not respond for up to two minutes."""
     world.platform.faults.down = True
 
     def end() -> None:
         world.platform.faults.down = False
 
-    span = min(generator.uniform(5.0, 120.0), world.seconds_left() - QUIET_END)
+    span = min(generator.uniform(5.0, 120.0), world.seconds_left() - FAULT_FREE_END)
     world.kernel.after(span, end)
     return f"for {span:.0f} s"
 
 
 def store_down_for_long(world: World, generator: random.Random) -> str:
-    """The table does not answer for 30 minutes, or as long as the run allows."""
+    """The table does not respond for 30 minutes, or as long as the run allows."""
     world.platform.faults.down = True
 
     def end() -> None:
         world.platform.faults.down = False
 
-    span = min(LONG_OUTAGE, world.seconds_left() - QUIET_END)
+    span = min(LONG_OUTAGE, world.seconds_left() - FAULT_FREE_END)
     world.kernel.after(span, end)
     return f"for {span:.0f} s"
 
 
 def store_trouble(world: World, generator: random.Random) -> str:
-    """The table is slow and loses answers of writes that took effect."""
+    """The table is slow and loses responses, also to writes that took effect."""
     faults = world.platform.faults
     faults.delay = generator.uniform(0.0, 2.0)
     faults.lost_answers = generator.uniform(0.0, 0.8)
@@ -192,7 +192,7 @@
 
 
 def lose_zone(world: World, generator: random.Random) -> str:
-    """Every process of a zone is lost."""
+    """Every process of a zone is killed and restarts later."""
     zone = generator.choice(world.site.zones)
     span = generator.uniform(5.0, 25.0)
     for process in world.processes():
@@ -202,7 +202,7 @@
 
 
 def lose_leader_zone(world: World, generator: random.Random) -> str:
-    """Every process of the leader's zone is lost."""
+    """Every process of the leader's zone is killed and restarts later."""
     leader = world.leader()
     zone = leader.place.zone if leader else world.site.zones[0]
     for process in world.processes():
@@ -212,7 +212,7 @@
 
 
 def lose_majority(world: World, generator: random.Random) -> str:
-    """Most nodes are lost at once and come back as other runs."""
+    """A majority of the nodes is killed at once and restarts as other runs."""
     count = len(world.nodes) // 2 + 1
     lost = generator.sample(list(world.nodes), count)
     for node in lost:
@@ -221,25 +221,25 @@
 
 
 def lose_leader_and_backend(world: World, generator: random.Random) -> str:
-    """The store goes down; then the leader and a back end are lost together."""
+    """The store goes down; 5 s later the leader and a back end are killed together."""
     world.platform.faults.down = True
     leader = world.leader() or world.nodes[0]
     backend = _pick(world.backends, generator)
 
-    def strike() -> None:
+    def kill_both() -> None:
         _kill(world, leader, 20.0)
         _kill(world, backend, 20.0)
 
     def end() -> None:
         world.platform.faults.down = False
 
-    world.kernel.after(5.0, strike)
+    world.kernel.after(5.0, kill_both)
     world.kernel.after(25.0, end)
     return f"{leader.place.machine}, {backend.place.machine}"
 
 
 def drain_backend(world: World, generator: random.Random) -> str:
-    """Operators drain a back end and take it into use again later."""
+    """Operators drain a back end and end the draining later."""
     backend = _pick(world.backends, generator)
     name = backend.place.machine
     world.set_draining(name, True)
@@ -248,7 +248,7 @@
 
 
 def shed(world: World, generator: random.Random) -> str:
-    """A back end takes no more work than it has slots for a while."""
+    """A back end accepts no more requests than it has slots for some seconds."""
     backend = world.backends[generator.randrange(len(world.backends))]
     run = backend.run_number
     backend.core.queue_limit = 0
@@ -287,7 +287,7 @@
     "lose-leader-zone": lose_leader_zone,
     "lose-leader-and-backend": lose_leader_and_backend,
 }
-"""Faults for single measurements, only by name."""
+"""Faults for single measurements, injected only if named."""
 
 ALL_FAULTS = {**FAULTS, **SPECIAL_FAULTS}
 
@@ -300,7 +300,7 @@
     names
         Faults to draw from.
     mean_interval
-        Seconds between two faults.
+        Mean time between two faults.
     """
 
     def __init__(
@@ -314,23 +314,23 @@
         self._world = world
         self._names = list(names)
         self._mean_interval = mean_interval
-        self._end = end - QUIET_END
+        self._end = end - FAULT_FREE_END
         self._random = generator
 
     def begin(self) -> None:
         """Schedule the first fault."""
         if self._names:
-            self._world.kernel.after(QUIET_START + self._pause(), self._strike)
+            self._world.kernel.after(FAULT_FREE_START + self._draw_interval(), self._inject)
 
-    def _pause(self) -> Seconds:
+    def _draw_interval(self) -> Seconds:
         return self._mean_interval * self._random.uniform(0.4, 1.6)
 
-    def _strike(self) -> None:
+    def _inject(self) -> None:
         if self._world.kernel.now > self._end:
             return
         name = self._random.choice(self._names)
-        # Entered first, so that what the fault does at once is put down to it.
-        self._world.monitor.fault_began(name, "begins")
+        # Recorded first, so that immediate effects of the fault are attributed to it.
+        self._world.monitor.record_fault(name, "begins")
         target = ALL_FAULTS[name](self._world, self._random)
-        self._world.monitor.note(f"fault {name}: {target}")
-        self._world.kernel.after(self._pause(), self._strike)
+        self._world.monitor.record_history(f"fault {name}: {target}")
+        self._world.kernel.after(self._draw_interval(), self._inject)
--- a/src/limedeck_lab/simulation/kernel.py
+++ b/src/limedeck_lab/simulation/kernel.py
@@ -23,7 +23,7 @@
         return float(self._environment.now)
 
     def after(self, delay: Seconds, action: Callable[[], None]) -> None:
-        """Call back after a delay."""
+        """Call an action after a delay."""
 
         def run(_: simpy.Event) -> None:
             self.events += 1
@@ -32,20 +32,20 @@
         self._environment.timeout(max(delay, 0.0)).callbacks.append(run)
 
     def run_until(self, end: Seconds) -> None:
-        """Let time pass."""
+        """Advance simulated time to `end`."""
         self._environment.run(until=end)
 
 
 @dataclass(frozen=True)
 class DriftingClock:
-    """A machine's clock, which runs at a rate of its own.
+    """A machine's clock, which runs at its own rate.
 
     Parameters
     ----------
     offset
         Reading at the start of the run.
     rate
-        Seconds it counts in a second of real time.
+        Seconds that it counts per second of real time.
     """
 
     kernel: Kernel
@@ -57,5 +57,5 @@
         return self.offset + self.kernel.now * self.rate
 
     def real_span(self, span: Seconds) -> Seconds:
-        """Real time that passes while the clock counts `span`."""
+        """Return the real time that passes while the clock counts `span`."""
         return span / self.rate
--- a/src/limedeck_lab/simulation/monitor.py
+++ b/src/limedeck_lab/simulation/monitor.py
@@ -1,4 +1,4 @@
-"""Watches a simulated system from outside: what must always hold, and the measures."""
+"""Checks the invariants of a simulated system across its processes, and measures it."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 from limedeck_lab.simulation.nodes import SimulatedNode
 from limedeck_lab.standins.backend import Work
 
-HISTORY_LENGTH = 60
+MAX_HISTORY_LINES = 60
 FREQUENT_EVENTS = ("Tick", "PeerMessageReceived", "LeaseReplied", "MachinesReceived")
-"""Events that would fill the history."""
+"""Events that are too frequent to be kept in the history."""
 OBSERVE_INTERVAL: Seconds = 0.01
 ATTRIBUTION_WINDOW: Seconds = 6.0
-"""An unserved interval is put down to the latest fault that began so shortly before it."""
+"""An unserved interval is attributed to the latest fault that began within this time before it."""
 
 
 @dataclass(frozen=True)
 class HistoryLine:
-    """One thing that happened.
+    """An entry of a run's history.
 
     Parameters
     ----------
     at
         Simulated seconds.
-    what
-        Where and what, with its cause.
+    text
+        Where something happened and what, with its cause.
     """
 
     at: Seconds
-    what: str
+    text: str
 
 
 class RunViolated(LimedeckError):
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class FaultBegin:
+class FaultStart:
     """When a fault began."""
 
     name: str
@@ -65,8 +65,8 @@
 
 
 @dataclass
-class GroupWatch:
-    """What is known of one group from outside.
+class ObservedGroup:
+    """State of a control group as the monitor observes it.
 
     Parameters
     ----------
@@ -77,14 +77,14 @@
     service: str
     unavailable: UnavailableTime = field(default_factory=UnavailableTime)
     committed: dict[int, int] = field(default_factory=dict)
-    newest: SliceMap = field(default_factory=SliceMap)
+    newest_slices: SliceMap = field(default_factory=SliceMap)
     newest_index: int = 0
     churn: float = 0.0
     was_assigned: bool = False
 
 
 class Monitor:
-    """Invariants across processes, and measures.
+    """Checks invariants across processes, and takes measurements.
 
     Parameters
     ----------
@@ -94,50 +94,52 @@
 
     def __init__(self, kernel: Kernel, groups: dict[GroupId, str]) -> None:
         self.kernel = kernel
-        self.groups = {group: GroupWatch(service) for group, service in groups.items()}
+        self.groups = {group: ObservedGroup(service) for group, service in groups.items()}
         self.violations: list[str] = []
-        self.history: deque[HistoryLine] = deque(maxlen=HISTORY_LENGTH)
+        self.history: deque[HistoryLine] = deque(maxlen=MAX_HISTORY_LINES)
         self.nodes: Sequence[SimulatedNode] = ()
         self._by_group: dict[GroupId, list[SimulatedBackend]] = {}
-        self.faults: list[FaultBegin] = []
+        self.faults: list[FaultStart] = []
         self.worst_by_fault: dict[str, Seconds] = {}
         self.load_by_backend: dict[str, int] = {}
         self._seen_commit: dict[tuple[str, int, GroupId], int] = {}
-        self._covered_key: dict[GroupId, tuple[object, ...]] = {}
+        self._measured_state: dict[GroupId, tuple[object, ...]] = {}
 
     # ------------------------------------------------------------------ history
 
-    def note(self, what: str) -> None:
-        """Enter a line into the history."""
-        self.history.append(HistoryLine(self.kernel.now, what))
+    def record_history(self, text: str) -> None:
+        """Append an entry to the history."""
+        self.history.append(HistoryLine(self.kernel.now, text))
 
-    def fault_began(self, name: str, target: str) -> None:
-        """A fault was injected."""
-        self.faults.append(FaultBegin(name, self.kernel.now))
-        self.note(f"fault {name} at {target}")
+    def record_fault(self, name: str, target: str) -> None:
+        """Record that a fault was injected."""
+        self.faults.append(FaultStart(name, self.kernel.now))
+        self.record_history(f"fault {name} at {target}")
 
-    def violate(self, invariant: str, detail: str, cause: str) -> None:
+    def report_violation(self, invariant: str, detail: str, cause: str) -> None:
         """Record a violation and end the run."""
         text = f"{invariant} at {self.kernel.now:.4f} s: {detail} (cause: {cause})"
         self.violations.append(text)
-        self.note(f"VIOLATION {text}")
+        self.record_history(f"VIOLATION {text}")
         raise RunViolated(text)
 
     # ------------------------------------------------------------------ nodes
 
     def before_event(self, node: SimulatedNode, event: ControlEvent) -> None:
-        """A node is about to handle an event."""
+        """Record an event that a node is about to handle."""
         if type(event).__name__ not in FREQUENT_EVENTS:
-            self.note(f"{node.node_id}: {event}"[:200])
+            self.record_history(f"{node.node_id}: {event}"[:200])
 
     def after_event(self, node: SimulatedNode, commands: list[ControlCommand]) -> None:
-        """A node has handled an event."""
+        """Check what a node has committed after an event."""
         for group, core in node.core.groups.items():
             if core.consensus.commit_index > 0 and group in self.groups:
                 self._check_committed(node, group, self.groups[group])
 
-    def _check_committed(self, node: SimulatedNode, group: GroupId, watch: GroupWatch) -> None:
-        """Two nodes that have committed the same index hold the same state."""
+    def _check_committed(
+        self, node: SimulatedNode, group: GroupId, observed: ObservedGroup
+    ) -> None:
+        """Check that two nodes that have committed the same index hold the same state."""
         consensus = node.core.groups[group].consensus
         index = consensus.commit_index
         key = (node.node_id, node.run_number, group)
@@ -146,19 +148,19 @@
         self._seen_commit[key] = index
         state = consensus.snapshot()
         digest = xxhash.xxh3_64_intdigest(state.assignment.SerializeToString())
-        known = watch.committed.setdefault(index, digest)
-        self.note(f"{node.node_id}: {group} committed {index} in term {consensus.term}")
+        known = observed.committed.setdefault(index, digest)
+        self.record_history(f"{node.node_id}: {group} committed {index} in term {consensus.term}")
         if known != digest:
-            self.violate("committed-state-agrees", f"{group} index {index}", node.node_id)
-        if index > watch.newest_index:
-            same_epoch = index // TERMS_PER_EPOCH == watch.newest_index // TERMS_PER_EPOCH
+            self.report_violation("committed-state-agrees", f"{group} index {index}", node.node_id)
+        if index > observed.newest_index:
+            same_epoch = index // TERMS_PER_EPOCH == observed.newest_index // TERMS_PER_EPOCH
             if same_epoch:
-                watch.churn += churn(watch.newest, consensus.slices)
-            watch.newest_index = index
-            watch.newest = consensus.slices.copy()
+                observed.churn += churn(observed.newest_slices, consensus.slices)
+            observed.newest_index = index
+            observed.newest_slices = consensus.slices.copy()
 
     def check_leaders(self) -> None:
-        """No two nodes hold a group's leadership lease at the same time."""
+        """Check that no two nodes hold a group's leadership lease at the same time."""
         for group in self.groups:
             holders = [
                 node.node_id
@@ -168,23 +170,23 @@
                 and node.core.groups[group].may_grant(node.clock.read())
             ]
             if len(holders) > 1:
-                self.violate("one-leader-at-a-time", f"{group}: {holders}", "observation")
+                self.report_violation("one-leader-at-a-time", f"{group}: {holders}", "observation")
 
     # ------------------------------------------------------------------ back ends
 
     def serving_changed(self, backend: SimulatedBackend) -> None:
-        """What a back end may serve has changed."""
+        """Check and measure ownership after the ranges that a back end may serve have changed."""
         if not backend.keyed:
             return
         group = backend.group
-        self.note(
+        self.record_history(
             f"{backend.place.machine}: serves version {backend.core.owned_version}, "
             f"running {backend.is_running}"
         )
         self._check_ownership(group, backend)
         self._measure(group)
 
-    def watch_backends(self, by_group: dict[GroupId, list[SimulatedBackend]]) -> None:
+    def set_backends(self, by_group: dict[GroupId, list[SimulatedBackend]]) -> None:
         """Set the back ends to watch, by their control group."""
         self._by_group = by_group
 
@@ -192,67 +194,67 @@
         return self._by_group.get(group, [])
 
     def _check_ownership(self, group: GroupId, cause: SimulatedBackend) -> None:
-        """No two runs may serve the same key at the same time, frozen ones included."""
-        ranges = [part for item in self._backends_of(group) for part in item.may_serve()]
+        """Check that no two back ends, frozen ones included, may serve the same key now."""
+        ranges = [part for item in self._backends_of(group) for part in item.servable_ranges()]
         shared = overlap(ranges)
         if shared is None:
             return
         holders = [
             item.place.machine
             for item in self._backends_of(group)
-            if any(start < shared[1] and shared[0] < end for start, end in item.may_serve())
+            if any(start < shared[1] and shared[0] < end for start, end in item.servable_ranges())
         ]
         detail = f"{shared[0]:#x} by {holders}"
-        self.violate("one-owner-per-key", detail, cause.place.machine)
+        self.report_violation("one-owner-per-key", detail, cause.place.machine)
 
     def _serving_ranges(self, backend: SimulatedBackend) -> list[KeyRange]:
-        return backend.may_serve() if backend.is_serving() else []
+        return backend.servable_ranges() if backend.is_serving() else []
 
     def _measure(self, group: GroupId) -> None:
-        watch = self.groups[group]
+        observed = self.groups[group]
         gaps = uncovered(
             part for item in self._backends_of(group) for part in self._serving_ranges(item)
         )
         if not gaps:
-            watch.was_assigned = True
-        if not watch.was_assigned:
+            observed.was_assigned = True
+        if not observed.was_assigned:
             return
-        for interval in watch.unavailable.observe(gaps, self.kernel.now):
-            name = self._fault_behind(interval.since)
+        for interval in observed.unavailable.observe(gaps, self.kernel.now):
+            name = self._attributed_fault(interval.since)
             worst = self.worst_by_fault.get(name, 0.0)
             self.worst_by_fault[name] = max(worst, interval.length)
 
-    def _fault_behind(self, since: Seconds) -> str:
+    def _attributed_fault(self, since: Seconds) -> str:
         for fault in reversed(self.faults):
             if fault.at <= since and since - fault.at <= ATTRIBUTION_WINDOW:
                 return fault.name
         return "none"
 
     def executed(self, backend: SimulatedBackend, work: Work) -> None:
-        """A back end did a request's effect."""
+        """Count an executed request; check that an unrepeatable one ran only once."""
         name = backend.place.machine
         self.load_by_backend[name] = self.load_by_backend.get(name, 0) + 1
         if work.unrepeatable and backend.executions[work.request_id] > 1:
-            self.violate("unrepeatable-runs-once", work.request_id, name)
+            self.report_violation("unrepeatable-runs-once", work.request_id, name)
 
     # ------------------------------------------------------------------ sampling
 
     def observe(self) -> None:
-        """Look at what changes without an event: lapsing leases, leadership."""
+        """Check what changes without an event: leases that expire, and leadership."""
         self.check_leaders()
         for group in self.groups:
-            key = tuple([item.serving_key() for item in self._backends_of(group)])
-            if self._covered_key.get(group) != key:
-                self._covered_key[group] = key
+            key = tuple([item.serving_state() for item in self._backends_of(group)])
+            if self._measured_state.get(group) != key:
+                self._measured_state[group] = key
                 self._measure(group)
         self.kernel.after(OBSERVE_INTERVAL, self.observe)
 
-    def share_imbalance(self, group: GroupId) -> float:
-        """Highest over mean share of the key line, over owners in use."""
-        watch = self.groups[group]
-        owners = sorted(watch.newest.owners())
-        return max_over_mean(keyspace_shares(watch.newest, owners).values())
+    def keyspace_imbalance(self, group: GroupId) -> float:
+        """Return the highest share of the key space over the mean share, among current owners."""
+        observed = self.groups[group]
+        owners = sorted(observed.newest_slices.owners())
+        return max_over_mean(keyspace_shares(observed.newest_slices, owners).values())
 
-    def take_product_violation(self, error: InvariantViolation, where: str) -> None:
-        """An invariant inside the product has failed."""
-        self.violate(error.invariant, error.detail, f"{where}: {error.cause}")
+    def report_product_violation(self, error: InvariantViolation, where: str) -> None:
+        """Report an invariant that the product itself found violated."""
+        self.report_violation(error.invariant, error.detail, f"{where}: {error.cause}")
--- a/src/limedeck_lab/simulation/network.py
+++ b/src/limedeck_lab/simulation/network.py
@@ -10,12 +10,12 @@
 from limedeck_lab.simulation.kernel import Kernel
 
 LOCAL_DELAY: Seconds = 0.0002
-JITTER: Seconds = 0.0003
+MAX_JITTER: Seconds = 0.0003
 
 
 @dataclass(frozen=True)
 class Place:
-    """Where a process runs: cuts are between machines."""
+    """Where a process runs; cuts apply between machines."""
 
     machine: str
     zone: str
@@ -23,14 +23,14 @@
 
 @dataclass(eq=False)
 class Cut:
-    """Messages between two sets of machines do not get through.
+    """A network cut: messages from one set of machines to another are not delivered.
 
     Parameters
     ----------
     sources, destinations
-        Machines; messages from the first to the second are cut.
+        Machines; messages from sources to destinations are cut.
     holds
-        Messages are delivered when the cut ends, as if sent again; otherwise they are lost.
+        Messages are delivered when the cut ends, as if retransmitted; otherwise they are lost.
     """
 
     sources: frozenset[str]
@@ -39,7 +39,7 @@
     held: list[Callable[[], None]] = field(default_factory=list)
 
     def applies(self, source: str, destination: str) -> bool:
-        """Whether a message is cut."""
+        """Whether the cut applies to a message."""
         return source in self.sources and destination in self.destinations
 
 
@@ -50,9 +50,10 @@
     Parameters
     ----------
     loss, duplication
-        Part of messages.
+        Fraction of messages that are lost or duplicated.
     extra_delay, late_share
-        This part of messages is delayed by up to so many seconds more, and overtaken by others.
+        The fraction `late_share` of messages is delayed by up to `extra_delay` more, so that
+        later messages may overtake them.
     """
 
     loss: float = 0.0
@@ -62,12 +63,12 @@
 
 
 class Network:
-    """Delivers messages by calling back after their delay.
+    """Delivers messages by calling an action after their delay.
 
     Parameters
     ----------
     zone_delay
-        One way between two zones, in seconds.
+        One-way delay between two zones.
     """
 
     def __init__(self, kernel: Kernel, zone_delay: Seconds, generator: random.Random) -> None:
@@ -79,9 +80,9 @@
         self.messages = 0
 
     def delay(self, source: Place, destination: Place) -> Seconds:
-        """Draw the time that a message takes."""
+        """Draw the delay of a message."""
         base = LOCAL_DELAY if source.zone == destination.zone else self._zone_delay
-        return base + self._random.random() * JITTER + self._extra_delay()
+        return base + self._random.random() * MAX_JITTER + self._extra_delay()
 
     def _extra_delay(self) -> Seconds:
         faults = self.faults
@@ -96,12 +97,12 @@
         deliver: Callable[[], None],
         reliable: bool = False,
     ) -> bool:
-        """Send a message; return whether it was sent on.
+        """Send a message; return whether it was neither cut nor lost.
 
         Parameters
         ----------
         reliable
-            Part of a connection, so neither lost nor duplicated by itself; cuts apply.
+            Sent over a connection, so neither lost nor duplicated; cuts still apply.
         """
         self.messages += 1
         if source.machine == destination.machine:
@@ -125,7 +126,7 @@
         return any(cut.applies(source, destination) for cut in self.cuts)
 
     def heal(self, cut: Cut) -> None:
-        """End a cut and deliver what it holds."""
+        """End a cut and deliver the messages that it holds."""
         if cut not in self.cuts:
             return
         self.cuts.remove(cut)
--- a/src/limedeck_lab/simulation/nodes.py
+++ b/src/limedeck_lab/simulation/nodes.py
@@ -35,33 +35,36 @@
 from limedeck_lab.simulation.platform import SimulatedPlatform
 from limedeck_lab.simulation.processes import SimulatedProcess
 
-LEAVE_NOTICE: Seconds = 1.25
-HAND_OVER_PATIENCE: Seconds = 5.0
-FRAME_BYTES = 4
+HANDOVER_CHECK_INTERVAL: Seconds = 1.25
+HANDOVER_TIMEOUT: Seconds = 5.0
+FRAME_HEADER_BYTES = 4
 HTTP_HEADER_BYTES = 86
-"""Of one side of a lease exchange; `limedeck-lab bench control` measures the real ones."""
+"""HTTP headers of the request or of the response of a lease exchange.
+
+`limedeck-lab bench control` measures those of real daemons.
+"""
 
 
 class NodeObserver(Protocol):
-    """What is told of every step of a node."""
+    """Notified of every event that a node handles."""
 
     def before_event(self, node: SimulatedNode, event: ControlEvent) -> None:
-        """An event is about to be handled."""
+        """Handle that a node is about to process an event."""
 
     def after_event(self, node: SimulatedNode, commands: list[ControlCommand]) -> None:
-        """An event was handled with these commands."""
+        """Handle that a node processed an event, which gave these commands."""
 
 
 @dataclass
 class Traffic:
-    """What nodes send and compute, counted when `is_counted` is set.
+    """Traffic and processor time of nodes, counted when `is_counted` is set.
 
     Parameters
     ----------
     messages, sent_bytes
-        Between nodes, by kind of message.
+        Messages and bytes sent, by kind of message.
     node_bytes
-        Sent and received, by node, lease exchanges included.
+        Bytes sent and received, by node, lease exchanges included.
     node_seconds
         Processor time in the control core, by node.
     """
@@ -73,7 +76,7 @@
     node_seconds: Counter[str] = field(default_factory=Counter)
 
     def count(self, kind: str, size: int, *nodes: str) -> None:
-        """Count a message at both of its ends."""
+        """Count a message, and its size at each of `nodes`."""
         if not self.is_counted:
             return
         self.messages[kind] += 1
@@ -82,13 +85,13 @@
             self.node_bytes[node] += size
 
     def clear(self) -> None:
-        """Start to count anew."""
+        """Reset all counters."""
         for counter in (self.messages, self.sent_bytes, self.node_bytes, self.node_seconds):
             counter.clear()
 
 
-class NodeSurroundings:
-    """What all simulated nodes share."""
+class NodeEnvironment:
+    """Time, network, platform and settings that all simulated nodes share."""
 
     def __init__(
         self,
@@ -108,42 +111,42 @@
         self.config_source: Callable[[int], ControlEvent | None] = lambda revision: None
         self.observer: NodeObserver | None = None
         self.traffic = Traffic()
-        self.remembers_promises = False
-        """Sabotage: a restarted node takes itself for the voter it was."""
+        self.keeps_voter_identity = False
+        """Sabotage: a restarted node keeps its identity as a voter, but not its promises."""
 
 
 class SimulatedNode(SimulatedProcess):
     """One node with its router."""
 
     def __init__(
-        self, surroundings: NodeSurroundings, node_id: NodeId, place: Place, clock: DriftingClock
+        self, environment: NodeEnvironment, node_id: NodeId, place: Place, clock: DriftingClock
     ) -> None:
-        super().__init__(surroundings.kernel, place, clock)
+        super().__init__(environment.kernel, place, clock)
         self.node_id = node_id
-        self.address = f"10.0.0.1:{len(surroundings.nodes_by_address) + 1}"
+        self.address = f"10.0.0.1:{len(environment.nodes_by_address) + 1}"
         self.core: ControlNode
         self.backend_states = BackendStates()
         self.retry_budgets: dict[str, RetryBudget] = {}
         self.router: RouterView
         self.is_leaving = False
-        self._surroundings = surroundings
-        surroundings.nodes_by_address[self.address] = self
+        self._environment = environment
+        environment.nodes_by_address[self.address] = self
 
-    # ------------------------------------------------------------------ life
+    # ------------------------------------------------------------------ process
 
     def start(self) -> None:
-        """Start a new run, with nothing kept from an earlier one."""
+        """Start a new run without any state of an earlier one."""
         super().start()
         self.is_leaving = False
-        first = self._surroundings.remembers_promises
-        number = 1 if first else self.run_number + 1
+        keeps_identity = self._environment.keeps_voter_identity
+        number = 1 if keeps_identity else self.run_number + 1
         identity = Voter(self.node_id, Incarnation(number), self.address, self.place.zone)
-        seeds = list(self._surroundings.nodes_by_address)
+        seeds = list(self._environment.nodes_by_address)
         self.core = ControlNode(
             identity,
             seeds,
-            self._surroundings.timing,
-            self._surroundings.limits,
+            self._environment.timing,
+            self._environment.limits,
             self.clock.read(),
         )
         self.backend_states = BackendStates()
@@ -153,28 +156,28 @@
         )
         self._schedule_tick(self.run_number)
 
-    def takes_callers(self) -> bool:
-        """Whether it listens to callers: like the daemon, once it can route, until it leaves."""
+    def accepts_requests(self) -> bool:
+        """Whether it accepts requests: like the daemon, once it can route and until it leaves."""
         return self.is_up and not self.is_leaving and self.core.can_route()
 
-    def stop_as_planned(self) -> None:
-        """Leave, then end."""
+    def stop_gracefully(self) -> None:
+        """Leave, and end the process once no group is led or after a timeout."""
         if not self.is_running:
             return
         self.is_leaving = True
         self.dispatch(LeaveRequested())
-        self._end_when_handed_over(self.run_number, self.kernel.now + HAND_OVER_PATIENCE)
+        self._kill_after_handover(self.run_number, self.kernel.now + HANDOVER_TIMEOUT)
 
-    def _end_when_handed_over(self, run: int, give_up_at: Seconds) -> None:
-        def look() -> None:
+    def _kill_after_handover(self, run: int, deadline: Seconds) -> None:
+        def check() -> None:
             if run != self.run_number:
                 return
-            if self.core.leads_any() and self.kernel.now < give_up_at:
-                self._end_when_handed_over(run, give_up_at)
+            if self.core.leads_any() and self.kernel.now < deadline:
+                self._kill_after_handover(run, deadline)
             else:
                 self.kill()
 
-        self.kernel.after(LEAVE_NOTICE, look)
+        self.kernel.after(HANDOVER_CHECK_INTERVAL, check)
 
     def _schedule_tick(self, run: int) -> None:
         def tick() -> None:
@@ -184,33 +187,33 @@
                 self.dispatch(Tick())
             self._schedule_tick(run)
 
-        interval = self._surroundings.timing.tick_interval
+        interval = self._environment.timing.tick_interval
         self.kernel.after(self.clock.real_span(interval), tick)
 
     # ------------------------------------------------------------------ events and commands
 
     def dispatch(self, event: ControlEvent) -> None:
-        """Hand the core an event and carry out what it wants done."""
-        observer = self._surroundings.observer
+        """Pass an event to the core and execute the commands that it returns."""
+        observer = self._environment.observer
         if observer is not None:
             observer.before_event(self, event)
         started = time.thread_time()
         commands = self.core.handle(event, self.clock.read())
-        traffic = self._surroundings.traffic
+        traffic = self._environment.traffic
         if traffic.is_counted:
             spent = time.thread_time() - started
             traffic.node_seconds[self.node_id] += spent  # type: ignore[assignment]
         if observer is not None:
             observer.after_event(self, commands)
         for command in commands:
-            self._carry_out(command)
+            self._execute(command)
 
-    def _later(self, event: ControlEvent) -> Callable[[], None]:
-        """An action that hands this run of the node an event."""
+    def _dispatcher(self, event: ControlEvent) -> Callable[[], None]:
+        """Return an action that dispatches an event if the node is still in this run."""
         run = self.run_number
         return lambda: self.deliver_to_run(run, lambda: self.dispatch(event))
 
-    def _carry_out(self, command: ControlCommand) -> None:
+    def _execute(self, command: ControlCommand) -> None:
         if isinstance(command, SendPeer):
             self._send_peer(command.address, command.message)
         elif isinstance(command, LeaseExchange):
@@ -222,38 +225,40 @@
         elif isinstance(command, ReadMachines):
             self._read_machines()
         else:
-            self.kernel.after(self.clock.real_span(command.delay), self._later(Tick()))
+            self.kernel.after(self.clock.real_span(command.delay), self._dispatcher(Tick()))
 
     def _send_peer(self, address: str, message: PeerMessage) -> None:
-        target = self._surroundings.nodes_by_address.get(address)
+        target = self._environment.nodes_by_address.get(address)
         if target is None:
             return
-        traffic = self._surroundings.traffic
+        traffic = self._environment.traffic
         if traffic.is_counted:
             kind = message_kind(message)
-            traffic.count(kind, message.ByteSize() + FRAME_BYTES, self.node_id, target.node_id)
+            traffic.count(
+                kind, message.ByteSize() + FRAME_HEADER_BYTES, self.node_id, target.node_id
+            )
         event = PeerMessageReceived(message)
-        self._surroundings.network.send(
+        self._environment.network.send(
             self.place, target.place, lambda: target.deliver(lambda: target.dispatch(event))
         )
 
     def _exchange_lease(self, exchange: LeaseExchange) -> None:
         group = GroupId(exchange.request.group)
-        failed = self._later(LeaseExchangeFailed(group, exchange.backend_id, exchange.fence))
-        backend = self._surroundings.backends_by_address.get(exchange.address)
-        network = self._surroundings.network
+        failed = self._dispatcher(LeaseExchangeFailed(group, exchange.backend_id, exchange.fence))
+        backend = self._environment.backends_by_address.get(exchange.address)
+        network = self._environment.network
         if backend is None or not backend.is_up:
             self.kernel.after(2 * network.delay(self.place, self.place), failed)
             return
 
-        traffic = self._surroundings.traffic
+        traffic = self._environment.traffic
 
         def reply(message: LeaseReply) -> None:
             if traffic.is_counted:
                 size = message.ByteSize() + HTTP_HEADER_BYTES
                 traffic.count("lease_reply", size, self.node_id)
             event = LeaseReplied(group, exchange.backend_id, exchange.fence, message)
-            network.send(backend.place, self.place, self._later(event))
+            network.send(backend.place, self.place, self._dispatcher(event))
 
         if traffic.is_counted:
             size = exchange.request.ByteSize() + HTTP_HEADER_BYTES
@@ -267,24 +272,24 @@
     def _access_record(self, command: ReadRecord | WriteRecord) -> None:
         run = self.run_number
 
-        def answer(event: RecordEvent) -> None:
+        def respond(event: RecordEvent) -> None:
             wrapped = RecordAnswered(command.group, event)
             self.deliver_to_run(run, lambda: self.dispatch(wrapped))
 
-        self._surroundings.platform.access_record(command, answer)
+        self._environment.platform.access_record(command, respond)
 
     def _poll_config(self, command: PollConfig) -> None:
-        if self._surroundings.platform.faults.down:
+        if self._environment.platform.faults.down:
             return
-        update = self._surroundings.config_source(command.known_revision)
+        update = self._environment.config_source(command.known_revision)
         if update is not None:
-            self.kernel.after(0.01, self._later(update))
+            self.kernel.after(0.01, self._dispatcher(update))
 
     def _read_machines(self) -> None:
-        machines = self._surroundings.platform.machines
+        machines = self._environment.platform.machines
         event = MachinesReceived(frozenset(machines), tuple(machines.values()))
-        self.kernel.after(0.01, self._later(event))
+        self.kernel.after(0.01, self._dispatcher(event))
 
     def receive_config(self, event: ConfigReceived) -> None:
-        """Take in a configuration change that operators made through this node."""
+        """Handle a configuration change that operators made through this node."""
         self.deliver(lambda: self.dispatch(event))
--- a/src/limedeck_lab/simulation/platform.py
+++ b/src/limedeck_lab/simulation/platform.py
@@ -1,4 +1,4 @@
-"""The simulated platform: a table and a machine list, slow, down, or losing answers."""
+"""The simulated platform: a table that can be slow, down or lose responses, and a machine list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from limedeck_lab.simulation.kernel import Kernel
 from limedeck_lab.standins.table import MemoryTable
 
-CALL_SECONDS: Seconds = 0.01
+CALL_DELAY: Seconds = 0.01
 CALL_TIMEOUT: Seconds = 1.0
 
 
@@ -33,7 +33,7 @@
     Parameters
     ----------
     lost_answers
-        Part of writes that take effect without an answer.
+        Fraction of calls whose response is lost; writes among them take effect.
     """
 
     down: bool = False
@@ -42,12 +42,12 @@
 
 
 class SimulatedPlatform:
-    """Answers record commands after a delay.
+    """Executes record commands after a delay.
 
     Parameters
     ----------
     list_lag
-        Seconds until a lost machine is gone from the list.
+        Time until a machine whose node was killed is removed from the list.
     """
 
     def __init__(self, kernel: Kernel, generator: random.Random, list_lag: Seconds) -> None:
@@ -57,29 +57,29 @@
         self.faults = StoreFaults()
         self.list_lag = list_lag
         self.machines: dict[NodeId, str] = {}
-        """Peer address of every machine on the list."""
+        """Peer address of the node of every machine on the list."""
 
     def access_record(
-        self, command: ReadRecord | WriteRecord, answer: Callable[[RecordEvent], None]
+        self, command: ReadRecord | WriteRecord, respond: Callable[[RecordEvent], None]
     ) -> None:
-        """Carry out a record command and call back with the answer."""
+        """Execute a record command and call `respond` with its result."""
         if self.faults.down:
-            self._kernel.after(CALL_TIMEOUT, lambda: answer(RecordUnavailable()))
+            self._kernel.after(CALL_TIMEOUT, lambda: respond(RecordUnavailable()))
             return
-        arrival = CALL_SECONDS * (0.5 + self._random.random()) + self.faults.delay
-        self._kernel.after(arrival, lambda: self._do(command, answer, arrival))
+        arrival = CALL_DELAY * (0.5 + self._random.random()) + self.faults.delay
+        self._kernel.after(arrival, lambda: self._execute(command, respond, arrival))
 
-    def _do(
+    def _execute(
         self,
         command: ReadRecord | WriteRecord,
-        answer: Callable[[RecordEvent], None],
+        respond: Callable[[RecordEvent], None],
         arrival: Seconds,
     ) -> None:
         event = self._read(command) if isinstance(command, ReadRecord) else self._write(command)
         lost = self._random.random() < self.faults.lost_answers
         if lost or arrival > CALL_TIMEOUT:
             event = RecordUnavailable()
-        self._kernel.after(CALL_SECONDS, lambda: answer(event))
+        self._kernel.after(CALL_DELAY, lambda: respond(event))
 
     def _read(self, command: ReadRecord) -> RecordEvent:
         rows = self.table.read([command.group])
@@ -99,11 +99,11 @@
         return RecordWritten(revision)
 
     def list_machine(self, node_id: NodeId, address: str) -> None:
-        """Put a machine on the list."""
+        """Add a machine to the list."""
         self.machines[node_id] = address
 
     def unlist_later(self, node_id: NodeId, still_gone: Callable[[], bool]) -> None:
-        """Take a lost machine off the list after the lag, if it is still gone then."""
+        """Remove a machine from the list after the lag if its node is still not running then."""
 
         def unlist() -> None:
             if still_gone():
--- a/src/limedeck_lab/simulation/processes.py
+++ b/src/limedeck_lab/simulation/processes.py
@@ -1,4 +1,4 @@
-"""Simulated processes: they run, freeze with everything buffered, die, and start again."""
+"""Simulated processes, which run, freeze while their input is buffered, are killed and restart."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it does anything now."""
+        """Whether it is up and not frozen."""
         return self.is_up and not self.is_frozen
 
     def deliver(self, action: Callable[[], None]) -> None:
-        """Have something done by the process: now, when it thaws, or never."""
+        """Run an action in the process: now, or when it thaws; drop it if the process is not up."""
         if not self.is_up:
             return
         if self.is_frozen:
@@ -41,7 +41,7 @@
         action()
 
     def deliver_to_run(self, run_number: int, action: Callable[[], None]) -> None:
-        """Have something done, but only by this run of the process."""
+        """Run an action in the process, but only if this run of it has not ended."""
         if run_number == self.run_number:
             self.deliver(action)
 
@@ -53,18 +53,18 @@
         self._buffered.clear()
 
     def kill(self) -> None:
-        """End the run; whatever it had is gone."""
+        """End the run; its state and buffered input are lost."""
         self.is_up = False
         self.is_frozen = False
         self.run_number += 1
         self._buffered.clear()
 
     def freeze(self) -> None:
-        """Stop doing anything; what arrives is buffered."""
+        """Suspend the process; its input is buffered."""
         self.is_frozen = self.is_up
 
     def thaw(self) -> None:
-        """Go on as if nothing had happened."""
+        """Resume the process and deliver its buffered input."""
         if not self.is_frozen:
             return
         self.is_frozen = False
--- a/src/limedeck_lab/simulation/sabotage.py
+++ b/src/limedeck_lab/simulation/sabotage.py
@@ -1,4 +1,4 @@
-"""Breaking one of the product's rules on purpose: the proof that the checks can fail."""
+"""Breaks one of the product's rules on purpose, to show that the checks detect it."""
 
 from __future__ import annotations
 
@@ -49,19 +49,19 @@
 
 
 @contextmanager
-def _nothing() -> Iterator[None]:
+def _no_patch() -> Iterator[None]:
     yield
 
 
 PATCHES: dict[str, Callable[[], Any]] = {
     "no-lease-wait": _no_lease_wait,
-    "no-fence": _nothing,
-    "grant-by-duration": _nothing,
-    "forgotten-promise": _nothing,
+    "no-fence": _no_patch,
+    "grant-by-duration": _no_patch,
+    "forgotten-promise": _no_patch,
     "retry-unsafe": _retry_unsafe,
     "stale-leader": _stale_leader,
 }
-"""What each sabotage changes in the product; the others change the stand-ins."""
+"""Patch of the product for each sabotage; those without one change the lab instead."""
 
 BROKEN_RULES = {
     "no-fence": BackendRules(checks_fences=False),
@@ -70,12 +70,12 @@
 
 
 def rules_under(sabotage: str) -> BackendRules:
-    """What simulated back ends check."""
+    """Return the rules that simulated back ends check under a sabotage."""
     return BROKEN_RULES.get(sabotage, BackendRules())
 
 
 @contextmanager
-def applied(sabotage: str) -> Iterator[None]:
-    """Break a rule for as long as the context lasts; nothing for an empty name."""
-    with PATCHES.get(sabotage, _nothing)():
+def apply_sabotage(sabotage: str) -> Iterator[None]:
+    """Break a rule for as long as the context lasts; an empty name breaks none."""
+    with PATCHES.get(sabotage, _no_patch)():
         yield
--- a/src/limedeck_lab/simulation/world.py
+++ b/src/limedeck_lab/simulation/world.py
@@ -1,4 +1,4 @@
-"""A whole simulated deployment and one run of it."""
+"""A complete simulated deployment and one run of it."""
 
 from __future__ import annotations
 
@@ -21,23 +21,24 @@
 from limedeck_lab.simulation.backends import BackendSize, SimulatedBackend
 from limedeck_lab.simulation.callers import SimulatedCallers
 from limedeck_lab.simulation.cost import ControlCost, control_cost
-from limedeck_lab.simulation.faults import QUIET_START, FaultSchedule
+from limedeck_lab.simulation.faults import FAULT_FREE_START, FaultSchedule
 from limedeck_lab.simulation.kernel import DriftingClock, Kernel
 from limedeck_lab.simulation.monitor import HistoryLine, Monitor, RunViolated
 from limedeck_lab.simulation.network import Network, Place
-from limedeck_lab.simulation.nodes import NodeSurroundings, SimulatedNode
+from limedeck_lab.simulation.nodes import NodeEnvironment, SimulatedNode
 from limedeck_lab.simulation.platform import SimulatedPlatform
 from limedeck_lab.simulation.processes import SimulatedProcess
-from limedeck_lab.simulation.sabotage import applied, rules_under
+from limedeck_lab.simulation.sabotage import apply_sabotage, rules_under
 from limedeck_lab.site import Site
 
 QUEUE_LIMIT = 64
 FIRST_PORT = 20_000
 CALLERS_STOP_BEFORE_END: Seconds = 20.0
-"""Callers stop so long before the end, so that each request has its outcome."""
-SERVED_BEFORE_END: Seconds = 5.0
-COST_SETTLING: Seconds = 5.0
-"""After the first assignment, before cost is counted."""
+"""Callers stop this long before the end, so that each request has an outcome by then."""
+MAX_UNSERVED_AT_END: Seconds = 5.0
+"""Ranges may be unserved for at most this long when the run ends."""
+COST_SETTLING_TIME: Seconds = 5.0
+"""Time that the site gets to settle after `FAULT_FREE_START` before its cost is counted."""
 
 
 @dataclass(frozen=True)
@@ -51,13 +52,13 @@
     faults
         Names of the faults to draw from.
     fault_interval
-        Mean seconds between two faults.
+        Mean time between two faults.
     request_rate
-        Callers' requests a second.
+        Callers' requests per second.
     sabotage
-        Rule of the product to break; empty for none.
+        Name of the sabotage that breaks a rule of the product; empty for none.
     measures_cost
-        Counts messages, bytes and processor time of control once the site has come up.
+        Whether to count messages, bytes and processor time of control once the site is up.
     """
 
     site: Site
@@ -74,7 +75,7 @@
 
 @dataclass
 class RunReport:
-    """What a run showed."""
+    """Results of a run."""
 
     plan: RunPlan
     violations: list[str]
@@ -89,7 +90,7 @@
     cost: ControlCost | None = None
 
     def to_dict(self) -> dict[str, object]:
-        """The report as one JSON record."""
+        """Return the report as one JSON record."""
         record: dict[str, object] = {
             "site": self.plan.site.name,
             "seed": self.plan.seed,
@@ -122,7 +123,7 @@
             self.kernel, plan.site.zone_delay_ms / 1000, self._generator("network")
         )
         self.platform = SimulatedPlatform(self.kernel, self._generator("platform"), 10.0)
-        self.surroundings = NodeSurroundings(
+        self.environment = NodeEnvironment(
             self.kernel, self.network, self.platform, plan.timing, plan.limits
         )
         groups = {
@@ -132,14 +133,14 @@
             for index in range(service.control_groups)
         }
         self.monitor = Monitor(self.kernel, groups)
-        self.surroundings.observer = self.monitor
-        self.surroundings.config_source = self._config_above
-        self.surroundings.remembers_promises = plan.sabotage == "forgotten-promise"
+        self.environment.observer = self.monitor
+        self.environment.config_source = self._config_newer_than
+        self.environment.keeps_voter_identity = plan.sabotage == "forgotten-promise"
         self._config = ConfigReplica()
         self.nodes = self._build_nodes()
         self.backends = self._build_backends()
         self.monitor.nodes = self.nodes
-        self.monitor.watch_backends(self._backends_by_group())
+        self.monitor.set_backends(self._backends_by_group())
         self.callers = SimulatedCallers(
             self.kernel,
             self.network,
@@ -166,7 +167,7 @@
             for number in range(1, self.site.nodes_per_zone + 1):
                 name = f"{zone}-{number}"
                 place = Place(name, zone)
-                nodes.append(SimulatedNode(self.surroundings, NodeId(name), place, self._clock()))
+                nodes.append(SimulatedNode(self.environment, NodeId(name), place, self._clock()))
         return nodes
 
     def _build_backends(self) -> list[SimulatedBackend]:
@@ -186,11 +187,11 @@
                 rules,
             )
             backends.append(backend)
-            self.surroundings.backends_by_address[configured.address] = backend
+            self.environment.backends_by_address[configured.address] = backend
         return backends
 
     def _backends_by_group(self) -> dict[GroupId, list[SimulatedBackend]]:
-        """Keyed back ends by their control group, as the configuration will place them."""
+        """Return keyed back ends by the control group that the configuration assigns them to."""
         counts = {item.name: item.control_groups for item in self.site.services}
         by_id = {item.place.machine: item for item in self.backends}
         found: dict[GroupId, list[SimulatedBackend]] = {}
@@ -225,7 +226,7 @@
                 node.receive_config(ConfigReceived(update))
                 break
 
-    def _config_above(self, revision: int) -> ControlEvent | None:
+    def _config_newer_than(self, revision: int) -> ControlEvent | None:
         if self._config.revision <= revision:
             return None
         return ConfigReceived(self._config.whole())
@@ -244,7 +245,7 @@
     # ------------------------------------------------------------------ processes
 
     def processes(self) -> Iterable[SimulatedProcess]:
-        """Every process."""
+        """Return all nodes and back ends."""
         return (*self.nodes, *self.backends)
 
     def seconds_left(self) -> Seconds:
@@ -252,7 +253,7 @@
         return self.plan.seconds - self.kernel.now
 
     def leader(self) -> SimulatedNode | None:
-        """A node that leads a group now."""
+        """Return the first node that leads a group now."""
         for node in self.nodes:
             if not node.is_running:
                 continue
@@ -262,44 +263,44 @@
         return None
 
     def start_process(self, process: SimulatedProcess) -> None:
-        """Start a process and put a node's machine on the platform's list."""
+        """Start a process; add a node's machine to the platform's list."""
         if isinstance(process, SimulatedNode):
             self.platform.list_machine(process.node_id, process.address)
         process.start()
 
-    def unlist_when_gone(self, process: SimulatedProcess) -> None:
-        """Have the platform's list drop a lost node's machine after its lag."""
+    def unlist_unless_restarted(self, process: SimulatedProcess) -> None:
+        """Remove a killed node's machine from the platform's list after its lag."""
         if isinstance(process, SimulatedNode):
             self.platform.unlist_later(process.node_id, lambda: not process.is_up)
 
     # ------------------------------------------------------------------ running
 
     def run(self) -> RunReport:
-        """Run as planned; stop at the first violation."""
+        """Run the plan; stop at the first violation."""
         started = time.perf_counter()
-        with applied(self.plan.sabotage):
+        with apply_sabotage(self.plan.sabotage):
             try:
                 self._run()
             except RunViolated:
                 pass
             except InvariantViolation as error:
-                self._take_violation(error)
+                self._report_violation(error)
         return self._report(time.perf_counter() - started)
 
-    def _begin_to_count(self) -> None:
-        traffic = self.surroundings.traffic
+    def _start_cost_count(self) -> None:
+        traffic = self.environment.traffic
         traffic.is_counted = True
-        self.kernel.after(COST_SETTLING, traffic.clear)
+        self.kernel.after(COST_SETTLING_TIME, traffic.clear)
 
     def _cost(self) -> ControlCost | None:
         if not self.plan.measures_cost:
             return None
-        seconds = self.plan.seconds - QUIET_START - COST_SETTLING
-        return control_cost(self.surroundings.traffic, self.nodes, seconds)
+        seconds = self.plan.seconds - FAULT_FREE_START - COST_SETTLING_TIME
+        return control_cost(self.environment.traffic, self.nodes, seconds)
 
-    def _take_violation(self, error: InvariantViolation) -> None:
+    def _report_violation(self, error: InvariantViolation) -> None:
         try:
-            self.monitor.take_product_violation(error, "product")
+            self.monitor.report_product_violation(error, "product")
         except RunViolated:
             return
 
@@ -310,9 +311,9 @@
             self.kernel.after(delay, lambda process=process: self.start_process(process))  # type: ignore[misc]
         self.kernel.after(2.0, self._apply_site_config)
         self.kernel.after(2.0, self.monitor.observe)
-        self.kernel.after(QUIET_START / 2, self.callers.begin)
+        self.kernel.after(FAULT_FREE_START / 2, self.callers.begin)
         if self.plan.measures_cost:
-            self.kernel.after(QUIET_START, self._begin_to_count)
+            self.kernel.after(FAULT_FREE_START, self._start_cost_count)
         FaultSchedule(
             self, self.plan.faults, self.plan.fault_interval, end, self._generator("faults")
         ).begin()
@@ -324,36 +325,42 @@
         self.callers.stopped = True
 
     def _check_end(self) -> None:
-        """After the faults are over: all keys served, and no false promise to any caller."""
-        for group, watch in self.monitor.groups.items():
-            for part, since in watch.unavailable.open_since.items():
-                if self.kernel.now - since > SERVED_BEFORE_END:
+        """Check that all keys are served after the faults, and that callers' outcomes were true."""
+        for group, observed in self.monitor.groups.items():
+            for part, since in observed.unavailable.open_since.items():
+                if self.kernel.now - since > MAX_UNSERVED_AT_END:
                     detail = f"{group} {part[0]:#x} since {since:.1f} s"
-                    self.monitor.violate("served-again", detail, "end of run")
-            if not watch.was_assigned:
-                self.monitor.violate("served-again", f"{group} was never served", "end of run")
-        ran: dict[str, int] = {}
+                    self.monitor.report_violation("served-again", detail, "end of run")
+            if not observed.was_assigned:
+                self.monitor.report_violation(
+                    "served-again", f"{group} was never served", "end of run"
+                )
+        executions: dict[str, int] = {}
         for backend in self.backends:
             for request_id, count in backend.executions.items():
-                ran[request_id] = ran.get(request_id, 0) + count
+                executions[request_id] = executions.get(request_id, 0) + count
         for record in self.callers.records.values():
-            self._check_record(record.request_id, record.outcome, ran)
+            self._check_record(record.request_id, record.outcome, executions)
 
-    def _check_record(self, request_id: str, outcome: Outcome | None, ran: dict[str, int]) -> None:
-        count = ran.get(request_id, 0)
+    def _check_record(
+        self, request_id: str, outcome: Outcome | None, executions: dict[str, int]
+    ) -> None:
+        count = executions.get(request_id, 0)
         record = self.callers.records[request_id]
         unrepeatable = self.callers.is_unrepeatable(record)
         if outcome is None:
-            self.monitor.violate("every-request-ends", request_id, "end of run")
+            self.monitor.report_violation("every-request-ends", request_id, "end of run")
         if outcome is Outcome.NOT_RUN and count > 0:
-            self.monitor.violate("not-run-means-not-run", request_id, record.reason)
+            self.monitor.report_violation("not-run-means-not-run", request_id, record.reason)
         if outcome is Outcome.WHOLE and unrepeatable and count != 1:
-            self.monitor.violate("whole-means-run-once", f"{request_id}: {count}", "end of run")
+            self.monitor.report_violation(
+                "whole-means-run-once", f"{request_id}: {count}", "end of run"
+            )
         if unrepeatable and count > 1:
-            self.monitor.violate("unrepeatable-runs-once", request_id, "end of run")
+            self.monitor.report_violation("unrepeatable-runs-once", request_id, "end of run")
 
     def _load_imbalance(self) -> float:
-        """Highest over mean load among the back ends of a keyed service, for the worst of them."""
+        """Return the highest load over the mean load of back ends, for the worst keyed service."""
         loads: dict[str, list[float]] = {}
         for item in self.backends:
             if item.keyed:
@@ -362,9 +369,9 @@
         return max((max_over_mean(values) for values in loads.values()), default=1.0)
 
     def _report(self, wall_seconds: float) -> RunReport:
-        watches = self.monitor.groups
-        totals = {group: watch.unavailable.total for group, watch in watches.items()}
-        worst = {group: watch.unavailable.worst for group, watch in watches.items()}
+        groups = self.monitor.groups
+        totals = {group: observed.unavailable.total for group, observed in groups.items()}
+        worst = {group: observed.unavailable.worst for group, observed in groups.items()}
         counts = self.callers.counts
         return RunReport(
             plan=self.plan,
@@ -381,9 +388,11 @@
             reasons=dict(counts.reasons),
             imbalance={
                 "load": self._load_imbalance(),
-                "share": max((self.monitor.share_imbalance(group) for group in watches), default=1),
+                "share": max(
+                    (self.monitor.keyspace_imbalance(group) for group in groups), default=1
+                ),
             },
-            churn={group: watch.churn for group, watch in watches.items()},
+            churn={group: observed.churn for group, observed in groups.items()},
             unavailable={
                 "worst": max(worst.values(), default=0.0),
                 "total": sum(totals.values()),
--- a/tests/unit/test_simulate_command.py
+++ b/tests/unit/test_simulate_command.py
@@ -1,4 +1,4 @@
-"""``limedeck-lab simulate``: the product's control under faults, by the command line."""
+"""``limedeck-lab simulate``: the product's control under faults, run from the command line."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     return tester
 
 
-def test_sound_runs_are_reported_and_added_up() -> None:
+def test_runs_are_reported_and_summarised() -> None:
     tester = simulate("--minutes 0.2 --runs 2 --seed 7 --json")
     assert tester.status_code == 0
-    first, second, together = (json.loads(line) for line in tester.io.fetch_output().splitlines())
+    first, second, summary = (json.loads(line) for line in tester.io.fetch_output().splitlines())
     assert (first["seed"], second["seed"]) == (7, 8)
     assert (first["nodes"], first["backends"]) == (3, 14)
-    assert (together["runs"], together["violated_seeds"]) == (2, [])
+    assert (summary["runs"], summary["violated_seeds"]) == (2, [])
     assert sum(first["faults"].values()) > 0
 
 
-def test_a_broken_rule_ends_with_its_exit_code_and_says_what_was_seen() -> None:
+def test_sabotage_is_detected_and_sets_exit_code() -> None:
     tester = simulate("--minutes 1 --sabotage grant-before-release")
     assert tester.status_code == 1
     assert "seed 1: two owners" in tester.io.fetch_error()
 
 
-def test_a_run_without_faults_has_none() -> None:
+def test_no_faults_are_injected_with_faults_none() -> None:
     tester = simulate("--minutes 0.1 --faults none --json")
     assert json.loads(tester.io.fetch_output())["faults"] == {}
 
@@ -49,13 +49,13 @@
         ("--core voters --faults two_leaders", "unknown faults two_leaders"),
     ],
 )
-def test_options_that_cannot_be_used_are_refused(arguments: str, problem: str) -> None:
+def test_invalid_options_are_rejected(arguments: str, problem: str) -> None:
     tester = simulate(arguments)
     assert tester.status_code == 2
     assert problem in tester.io.fetch_error()
 
 
-def test_the_first_build_is_still_simulated_by_its_name() -> None:
+def test_voters_core_runs_the_first_build() -> None:
     tester = simulate("--core voters --minutes 0.5 --faults none --json")
     assert tester.status_code == 0
     assert json.loads(tester.io.fetch_output())["requests"]["sent"] > 0
--- a/tests/unit/test_simulation.py
+++ b/tests/unit/test_simulation.py
@@ -1,4 +1,4 @@
-"""Short runs of the simulation: no violation under faults, and each sabotage is caught."""
+"""Short runs of the simulation: no violation under faults, and each sabotage is detected."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 from limedeck_lab.simulation.world import RunPlan, RunReport, World
 from limedeck_lab.site import Site, load_site
 
-SABOTAGE_SEEDS = 6
+MAX_SABOTAGE_SEEDS = 6
 
 
 def site(name: str) -> Site:
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("name", ["kostanay", "nordeste"])
-def test_nothing_is_violated_under_all_faults(name: str) -> None:
+def test_no_invariant_is_violated_under_all_faults(name: str) -> None:
     report = run(name, 11, 120.0, list(FAULTS))
     assert report.violations == []
     counts = report.requests
@@ -32,7 +32,7 @@
     assert counts["sent"] > 1_000
 
 
-def test_a_run_replays_exactly() -> None:
+def test_run_is_reproducible() -> None:
     first = run("kostanay", 5, 70.0, list(FAULTS))
     second = run("kostanay", 5, 70.0, list(FAULTS))
     assert first.requests == second.requests
@@ -49,8 +49,8 @@
 """
 
 
-def test_a_run_replays_exactly_in_another_process() -> None:
-    """Whatever the order in which sets of strings are iterated there."""
+def test_run_is_reproducible_in_another_process() -> None:
+    """Results don't depend on the iteration order of sets, which differs between processes."""
     outputs = {
         subprocess.run(
             [sys.executable, "-c", REPLAY],
@@ -75,16 +75,16 @@
 
 
 @pytest.mark.parametrize("sabotage", PATCHES)
-def test_each_sabotage_is_caught_within_a_few_seeds(sabotage: str) -> None:
+def test_each_sabotage_is_detected_within_a_few_seeds(sabotage: str) -> None:
     faults = SABOTAGE_FAULTS[sabotage]
-    for seed in range(1, SABOTAGE_SEEDS + 1):
+    for seed in range(1, MAX_SABOTAGE_SEEDS + 1):
         report = run("kostanay", seed, 150.0, faults, sabotage=sabotage, fault_interval=4.0)
         if report.violations:
             return
-    pytest.fail(f"{sabotage} was not caught in {SABOTAGE_SEEDS} seeds")
+    pytest.fail(f"{sabotage} was not detected in {MAX_SABOTAGE_SEEDS} seeds")
 
 
-LONGEST_UNSERVED = [
+MAX_UNSERVED_SECONDS = [
     ("stop-node", 0.05),
     ("kill-backend", 3.0),
     ("freeze-backend", 3.0),
@@ -97,10 +97,10 @@
 ]
 
 
-@pytest.mark.parametrize(("fault", "limit"), LONGEST_UNSERVED)
-def test_a_key_is_unserved_no_longer_than_stated(fault: str, limit: float) -> None:
+@pytest.mark.parametrize(("fault", "limit"), MAX_UNSERVED_SECONDS)
+def test_unserved_time_of_keys_is_within_limit(fault: str, limit: float) -> None:
     assert fault in ALL_FAULTS
-    # Where no gap at all is allowed, balancing must make none of its own.
+    # Balancing is off where no gap is allowed, as its moves can cause gaps.
     limits = ControlLimits(moves_per_minute=0) if limit == 0.0 else ControlLimits()
     report = run("kostanay", 3, 160.0, [fault], fault_interval=40.0, limits=limits)
     assert report.violations == []
