--- a/src/limedeck_lab/commands/standins.py
+++ b/src/limedeck_lab/commands/standins.py
@@ -40,7 +40,7 @@
     ]
 
     def handle(self) -> int:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT."""
         server = PlatformServer(float(self.option("rate")))
         address = self.option("address")
 
@@ -61,7 +61,7 @@
     ]
 
     def handle(self) -> int:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT."""
         content = json.loads(Path(self.option("specifications")).read_text(encoding="utf-8"))
         server = BackendServer([BackendSpecification(**item) for item in content])
         anyio.run(serve_until_signal, server.serve, backend_options=UVLOOP)
--- a/src/limedeck_lab/simulation/monitor.py
+++ b/src/limedeck_lab/simulation/monitor.py
@@ -187,7 +187,7 @@
         self._measure(group)
 
     def set_backends(self, by_group: dict[GroupId, list[SimulatedBackend]]) -> None:
-        """Set the back ends to watch, by their control group."""
+        """Set the back ends to observe, by their control group."""
         self._by_group = by_group
 
     def _backends_of(self, group: GroupId) -> Sequence[SimulatedBackend]:
--- a/src/limedeck_lab/simulation/nodes.py
+++ b/src/limedeck_lab/simulation/nodes.py
@@ -112,7 +112,7 @@
         self.observer: NodeObserver | None = None
         self.traffic = Traffic()
         self.keeps_voter_identity = False
-        """Sabotage: a restarted node keeps its identity as a voter, but not its promises."""
+        """Sabotage: a restarted node keeps its identity as a voter, but forgets its promises."""
 
 
 class SimulatedNode(SimulatedProcess):
--- a/src/limedeck_lab/simulation/platform.py
+++ b/src/limedeck_lab/simulation/platform.py
@@ -102,11 +102,11 @@
         """Add a machine to the list."""
         self.machines[node_id] = address
 
-    def unlist_later(self, node_id: NodeId, still_gone: Callable[[], bool]) -> None:
+    def unlist_later(self, node_id: NodeId, is_still_down: Callable[[], bool]) -> None:
         """Remove a machine from the list after the lag if its node is still not running then."""
 
         def unlist() -> None:
-            if still_gone():
+            if is_still_down():
                 self.machines.pop(node_id, None)
 
         self._kernel.after(self.list_lag, unlist)
