--- a/src/limedeck_lab/simulation/nodes.py
+++ b/src/limedeck_lab/simulation/nodes.py
@@ -35,7 +35,8 @@
 from limedeck_lab.simulation.platform import SimulatedPlatform
 from limedeck_lab.simulation.processes import SimulatedProcess
 
-HANDOVER_CHECK_INTERVAL: Seconds = 1.25
+LEAVE_NOTICE_TIME: Seconds = 1.25
+"""Time after a node leaves before it checks, and checks again, whether it may end."""
 HANDOVER_TIMEOUT: Seconds = 5.0
 FRAME_HEADER_BYTES = 4
 HTTP_HEADER_BYTES = 86
@@ -177,7 +178,7 @@
             else:
                 self.kill()
 
-        self.kernel.after(HANDOVER_CHECK_INTERVAL, check)
+        self.kernel.after(LEAVE_NOTICE_TIME, check)
 
     def _schedule_tick(self, run: int) -> None:
         def tick() -> None:
