--- a/src/limedeck/cli/inspection.py
+++ b/src/limedeck/cli/inspection.py
@@ -11,7 +11,7 @@
 from limedeck.cli.base import OperatorCommand, common_options
 from limedeck.cli.client import OperatorClient
 from limedeck.cli.configuration import revision_at
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 
 STATUS_PREFIX = "MEMBER_STATUS_"
 
@@ -30,7 +30,7 @@
         for boundary, next_start in zip(assignment.boundaries, following, strict=True):
             # Each control group has slices of the whole key space, ordered by start. A start that
             # is not greater than the previous one begins the next group.
-            end = next_start if next_start > boundary.start else KEY_LINE_END
+            end = next_start if next_start > boundary.start else KEYSPACE_END
             slices[boundary.owner] += 1
             shares[boundary.owner] += end - boundary.start
         total = sum(shares.values()) or 1
@@ -87,7 +87,7 @@
         if self.wants_json:
             self.print_message(reply)
             return 0
-        end = reply.range.end or KEY_LINE_END
+        end = reply.range.end or KEYSPACE_END
         self.print_table(
             ("OWNER", "ADDRESS", "GROUP", "VERSION", "POSITION", "SLICE"),
             [
--- a/src/limedeck/control/assignment_leader.py
+++ b/src/limedeck/control/assignment_leader.py
@@ -63,7 +63,7 @@
         self._finish_moves(now)
         self._advance_moves(may_grant, now)
 
-    def silent_owners(self, now: Seconds) -> list[BackendId]:
+    def unresponsive_owners(self, now: Seconds) -> list[BackendId]:
         """Owners of slices that are unresponsive."""
         return [
             owner
--- a/src/limedeck/control/events.py
+++ b/src/limedeck/control/events.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class RecordAnswered:
+class RecordResponse:
     """The table responded to a command that reads or writes a group's record."""
 
     group: GroupId
@@ -82,7 +82,7 @@
     | PeerMessageReceived
     | LeaseReplied
     | LeaseExchangeFailed
-    | RecordAnswered
+    | RecordResponse
     | ConfigReceived
     | MachinesReceived
     | LeaveRequested
--- a/src/limedeck/control/group.py
+++ b/src/limedeck/control/group.py
@@ -189,7 +189,7 @@
         state = self.consensus.leader_state
         if state is None or now - state.elected_at < 2 * self.timing.longest_backend_lease:
             return False
-        unresponsive = leadership.assignment.silent_owners(now)
+        unresponsive = leadership.assignment.unresponsive_owners(now)
         return 2 * len(unresponsive) > len(self.consensus.slices.owners())
 
     def _transfer_leadership(self, leadership: LeadershipTerm, now: Seconds) -> None:
--- a/src/limedeck/control/leases.py
+++ b/src/limedeck/control/leases.py
@@ -16,7 +16,7 @@
 from limedeck.control.timing import ControlTiming
 from limedeck.errors import InvariantViolation
 from limedeck.identity import NEVER, BackendId, Fence, GroupId, Incarnation, Seconds
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 from limedeck.keyspace.slices import Slice
 
 NO_FENCE = Fence(0, 0)
@@ -251,7 +251,7 @@
 
 def key_range(item: Slice) -> KeyRange:
     """Convert a slice to a key range; an end of zero means the end of the key space."""
-    return KeyRange(start=item.start, end=item.end % KEY_LINE_END)
+    return KeyRange(start=item.start, end=item.end % KEYSPACE_END)
 
 
 def range_set(version: Fence, owned: Sequence[Slice]) -> RangeSet:
--- a/src/limedeck/control/node.py
+++ b/src/limedeck/control/node.py
@@ -22,7 +22,7 @@
     LeaveRequested,
     MachinesReceived,
     PeerMessageReceived,
-    RecordAnswered,
+    RecordResponse,
 )
 from limedeck.control.group import GroupCommand, GroupCore
 from limedeck.control.group_record import LossEvidence, ReadRecord, WriteRecord
@@ -35,7 +35,7 @@
 )
 from limedeck.control.timing import ControlLimits, ControlTiming
 from limedeck.identity import BackendId, GroupId, NodeId, Seconds, Voter, keyed_group
-from limedeck.keyspace.hashing import KEY_LINE_END, rendezvous_weight
+from limedeck.keyspace.hashing import KEYSPACE_END, rendezvous_weight
 from limedeck.routing.route_table import RouteTable
 
 FOUNDING_DELAY: Seconds = 1.0
@@ -121,7 +121,7 @@
             self._on_lease_replied(event, now)
         elif isinstance(event, LeaseExchangeFailed):
             self._on_lease_failed(event, now)
-        elif isinstance(event, RecordAnswered):
+        elif isinstance(event, RecordResponse):
             self._on_record_answered(event, now)
         elif isinstance(event, ConfigReceived):
             self._on_config(event.update)
@@ -155,7 +155,7 @@
         """
         if now < self._passive_ticks.get(group, now):
             return False
-        hash_fraction = rendezvous_weight(self.identity.node_id, group) / KEY_LINE_END
+        hash_fraction = rendezvous_weight(self.identity.node_id, group) / KEYSPACE_END
         self._passive_ticks[group] = now + PASSIVE_TICK_INTERVAL * (0.5 + hash_fraction)
         return True
 
@@ -191,7 +191,7 @@
         if core is not None:
             self._add_group_commands(core.handle_lease_failure(event.backend_id, event.fence, now))
 
-    def _on_record_answered(self, event: RecordAnswered, now: Seconds) -> None:
+    def _on_record_answered(self, event: RecordResponse, now: Seconds) -> None:
         core = self.groups.get(event.group)
         if core is not None:
             self._add_group_commands(core.handle_record_event(event.answer, now))
--- a/src/limedeck/daemon/aiohttp_client.py
+++ b/src/limedeck/daemon/aiohttp_client.py
@@ -59,7 +59,7 @@
                     chunk = await self._response.content.read(READ_CHUNK_BYTES)
             except (aiohttp.ClientError, TimeoutError) as error:
                 reason = type(error).__name__
-                raise AttemptFailed(FailurePhase.ANSWERING, reason) from error
+                raise AttemptFailed(FailurePhase.RECEIVING, reason) from error
             if not chunk:
                 return
             yield chunk
@@ -94,7 +94,7 @@
             raise AttemptRefused(refusal)
         return AiohttpResponse(response, deadline)
 
-    async def forget_except(self, addresses: set[str]) -> None:
+    async def retain(self, addresses: set[str]) -> None:
         # The session closes idle connections after KEEPALIVE_SECONDS.
         return
 
--- a/src/limedeck/daemon/backend_client.py
+++ b/src/limedeck/daemon/backend_client.py
@@ -76,7 +76,7 @@
         """
 
     @abstractmethod
-    async def forget_except(self, addresses: set[str]) -> None:
+    async def retain(self, addresses: set[str]) -> None:
         """Close the connections to back ends that are no longer configured."""
 
     @abstractmethod
--- a/src/limedeck/daemon/callers.py
+++ b/src/limedeck/daemon/callers.py
@@ -123,7 +123,7 @@
             return
         self._config_seen = config.revision
         known = [backend for item in config.services() for backend in config.backends_of(item.name)]
-        self._backends.forget_except({backend.backend_id for backend in known})
+        self._backends.retain({backend.backend_id for backend in known})
 
     # ------------------------------------------------------------------ running
 
--- a/src/limedeck/daemon/control_host.py
+++ b/src/limedeck/daemon/control_host.py
@@ -21,7 +21,7 @@
     LeaveRequested,
     MachinesReceived,
     PeerMessageReceived,
-    RecordAnswered,
+    RecordResponse,
     Tick,
 )
 from limedeck.control.group_record import (
@@ -194,7 +194,7 @@
         except PlatformError as error:
             self._record_store_failure(error)
             event = RecordUnavailable()
-        self.dispatch(RecordAnswered(group, event))
+        self.dispatch(RecordResponse(group, event))
 
     async def _read_record(self, command: ReadRecord | WriteRecord) -> RecordEvent:
         key = GROUP_PREFIX + command.group
--- a/src/limedeck/daemon/httpx_client.py
+++ b/src/limedeck/daemon/httpx_client.py
@@ -37,7 +37,7 @@
                     chunk = await anext(stream, None)
             except (httpx.HTTPError, TimeoutError) as error:
                 reason = type(error).__name__
-                raise AttemptFailed(FailurePhase.ANSWERING, reason) from error
+                raise AttemptFailed(FailurePhase.RECEIVING, reason) from error
             if chunk is None:
                 return
             yield chunk
@@ -79,7 +79,7 @@
             raise AttemptRefused(refusal)
         return HttpxResponse(response, deadline)
 
-    async def forget_except(self, addresses: set[str]) -> None:
+    async def retain(self, addresses: set[str]) -> None:
         for address in [item for item in self._pools if item not in addresses]:
             await self._pools.pop(address).aclose()
 
--- a/src/limedeck/daemon/operators.py
+++ b/src/limedeck/daemon/operators.py
@@ -29,9 +29,9 @@
     RevisionConflict,
 )
 from limedeck.identity import GroupId, keyed_group
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 from limedeck.keyspace.slices import NO_OWNER
-from limedeck.routing.rules import place_of_key
+from limedeck.routing.rules import locate_key
 
 ERROR_DETAIL_KEY = "limedeck-error-bin"
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
@@ -197,14 +197,14 @@
         service = await self._keyed_service(context, request.service)
         if not request.key:
             await self._abort(context, InvalidObject("key", "must not be empty"))
-        place = place_of_key(service, request.key)
+        place = locate_key(service, request.key)
         reply = api.LocateReply(group=place.group, position=place.position)
         route = self._host.core.routes.locate(place.group, place.position)
         if route is None:
             return reply
         reply.version = route.version
         reply.range.start = route.slice.start
-        reply.range.end = route.slice.end % KEY_LINE_END
+        reply.range.end = route.slice.end % KEYSPACE_END
         owner = self._host.core.config.backend(route.slice.owner)
         if owner is not None:
             reply.owner.CopyFrom(owner)
--- a/src/limedeck/forwarding/request.py
+++ b/src/limedeck/forwarding/request.py
@@ -27,9 +27,9 @@
 from limedeck.identity import Seconds
 from limedeck.model import Route
 from limedeck.routing.outcomes import (
-    FULL,
+    REJECTED_PHASES,
     SURELY_NOT_RUN,
-    UNREACHED,
+    UNREACHED_PHASES,
     AttemptHistory,
     Decision,
     FailurePhase,
@@ -176,7 +176,7 @@
         if attempt is None:
             raise InvariantViolation("failure-follows-attempt", self.request_id.decode("latin-1"))
         self._in_flight = None
-        self._reached_backend = self._reached_backend or phase not in UNREACHED
+        self._reached_backend = self._reached_backend or phase not in UNREACHED_PHASES
         history = AttemptHistory(
             repeatable=self.route.repeatable,
             may_have_run=self.claim.may_have_run,
@@ -194,9 +194,9 @@
             return self._refuse(reason, retry_after)
         backend_id = attempt.state.backend.backend_id
         self._excluded.add(backend_id)
-        if backing_off is not None and phase in FULL and not wrong_owner:
+        if backing_off is not None and phase in REJECTED_PHASES and not wrong_owner:
             self._backoff_rejections += 1
-        elif phase in FULL and not wrong_owner:
+        elif phase in REJECTED_PHASES and not wrong_owner:
             attempt.state.record_queue_full(now)
             refusal = self.claim.early_refusal(attempt.state, now) if self.service.keyed else None
             if refusal is not None:
@@ -304,7 +304,7 @@
 def _reason_for(phase: FailurePhase, time_left: bool) -> RefusalReason:
     if not time_left:
         return RefusalReason.TIMED_OUT
-    if phase in FULL:
+    if phase in REJECTED_PHASES:
         return RefusalReason.REFUSED
     if phase in SURELY_NOT_RUN:
         return RefusalReason.UNREACHABLE
--- a/src/limedeck/http_client.py
+++ b/src/limedeck/http_client.py
@@ -154,13 +154,13 @@
     async def _receive(self) -> HttpResponse:
         parser = self._parser
         while not parser.is_complete:
-            phase = FailurePhase.ANSWERING if parser.has_head else FailurePhase.AWAITING
+            phase = FailurePhase.RECEIVING if parser.has_head else FailurePhase.AWAITING
             try:
                 parser.feed(await self.stream.receive(MAX_READ_BYTES))
             except anyio.EndOfStream:
                 self._handle_end_of_stream(parser, phase)
             except http_codec.BadResponse as error:
-                phase = FailurePhase.ANSWERING if parser.has_head else FailurePhase.AWAITING
+                phase = FailurePhase.RECEIVING if parser.has_head else FailurePhase.AWAITING
                 raise AttemptFailed(phase, str(error), by_other_end=True) from error
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
                 raise AttemptFailed(phase, _describe_error(error), by_other_end=True) from error
--- a/src/limedeck/keyspace/planning.py
+++ b/src/limedeck/keyspace/planning.py
@@ -8,7 +8,7 @@
 
 from limedeck.api.peer_pb2 import AssignmentChange
 from limedeck.identity import BackendId
-from limedeck.keyspace.hashing import KEY_LINE_END, equal_slice_starts
+from limedeck.keyspace.hashing import KEYSPACE_END, equal_slice_starts
 from limedeck.keyspace.slices import NO_OWNER, Slice, SliceMap, change_of
 
 UNIFORM_LOAD_FRACTION = 0.05
@@ -25,7 +25,7 @@
 MERGE_SHARE_OF_MEAN = 0.002
 """Fraction of the mean weight of a back end below which two neighbouring slices of one owner are
 merged, by their total weight."""
-MIN_SPLIT_WIDTH = KEY_LINE_END >> 24
+MIN_SPLIT_WIDTH = KEYSPACE_END >> 24
 """A narrower slice has a few keys at most; splitting it would not spread the load of a hot key."""
 MAX_SPLITS_PER_STEP = 8
 MAX_MERGES_PER_STEP = 8
--- a/src/limedeck/keyspace/slices.py
+++ b/src/limedeck/keyspace/slices.py
@@ -10,7 +10,7 @@
 from limedeck.api.peer_pb2 import AssignmentChange, SliceBoundary
 from limedeck.errors import InvariantViolation
 from limedeck.identity import BackendId
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 
 NO_OWNER = BackendId("")
 START_TYPECODE = "Q"
@@ -38,7 +38,7 @@
     @property
     def share(self) -> float:
         """Fraction of the key space that this slice covers, in ``(0, 1]``."""
-        return (self.end - self.start) / KEY_LINE_END
+        return (self.end - self.start) / KEYSPACE_END
 
 
 class SliceMap:
@@ -62,7 +62,7 @@
         starts = self._starts
         last = len(starts) - 1
         for index, number in enumerate(self._owner_numbers):
-            end = starts[index + 1] if index < last else KEY_LINE_END
+            end = starts[index + 1] if index < last else KEYSPACE_END
             yield Slice(starts[index], end, self._owners[number])
 
     def __eq__(self, other: object) -> bool:
@@ -156,7 +156,7 @@
 
     def _slice_at(self, index: int) -> Slice:
         last = len(self._starts) - 1
-        end = self._starts[index + 1] if index < last else KEY_LINE_END
+        end = self._starts[index + 1] if index < last else KEYSPACE_END
         return Slice(self._starts[index], end, self._owners[self._owner_numbers[index]])
 
     def _put(self, start: int, owner: BackendId) -> None:
--- a/src/limedeck/measures.py
+++ b/src/limedeck/measures.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from limedeck.identity import Seconds
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 from limedeck.keyspace.slices import NO_OWNER, SliceMap
 
 KeyRange = tuple[int, int]
@@ -56,7 +56,7 @@
             if old.owner != new.owner:
                 moved += piece_end - position
             position = piece_end
-    return moved / KEY_LINE_END
+    return moved / KEYSPACE_END
 
 
 def uncovered(ranges: Iterable[KeyRange]) -> list[KeyRange]:
@@ -67,8 +67,8 @@
         if start > covered_until:
             gaps.append((covered_until, start))
         covered_until = max(covered_until, end)
-    if covered_until < KEY_LINE_END:
-        gaps.append((covered_until, KEY_LINE_END))
+    if covered_until < KEYSPACE_END:
+        gaps.append((covered_until, KEYSPACE_END))
     return gaps
 
 
@@ -135,7 +135,7 @@
         for part in subtract(was_open, gaps):
             interval = UnservedInterval(part, self._since(part), now)
             finished.append(interval)
-            self.total += interval.length * (part[1] - part[0]) / KEY_LINE_END
+            self.total += interval.length * (part[1] - part[0]) / KEYSPACE_END
             self.worst = max(self.worst, interval.length)
         still_open = {part: self._since(part) for part in intersect(was_open, gaps)}
         newly_open = dict.fromkeys(subtract(gaps, was_open), now)
--- a/src/limedeck/node/gateway.py
+++ b/src/limedeck/node/gateway.py
@@ -322,7 +322,7 @@
                 duration, result.load, result.received_at, call.route.name, attempt.ahead
             )
             return response
-        if result.phase is FailurePhase.ERROR_ANSWER:
+        if result.phase is FailurePhase.ERROR_RESPONSE:
             call.error_response = response
         return result.phase, result.wrong_owner
 
--- a/src/limedeck/node/response_reader.py
+++ b/src/limedeck/node/response_reader.py
@@ -82,8 +82,10 @@
             if response.status != DEADLINE_PASSED:
                 attempt.state.record_failure(now)
             problem = f"status {response.status}"
-            self._log.record_failed_attempt(request_id, backend, FailurePhase.ERROR_ANSWER, problem)
-            return ResponseResult(FailurePhase.ERROR_ANSWER, now, metadata.load)
+            self._log.record_failed_attempt(
+                request_id, backend, FailurePhase.ERROR_RESPONSE, problem
+            )
+            return ResponseResult(FailurePhase.ERROR_RESPONSE, now, metadata.load)
         return ResponseResult(None, now, metadata.load)
 
     def _record_statements(
--- a/src/limedeck/routing/backends.py
+++ b/src/limedeck/routing/backends.py
@@ -94,7 +94,7 @@
         """Whether this router may send one more request to a back end now."""
         return self.state(backend_id).outstanding < self.connection_share(service)
 
-    def forget_except(self, backend_ids: Collection[str]) -> None:
+    def retain(self, backend_ids: Collection[str]) -> None:
         """Drop the states of back ends that are no longer configured."""
         for backend_id in [item for item in self._states if item not in backend_ids]:
             del self._states[backend_id]
--- a/src/limedeck/routing/outcomes.py
+++ b/src/limedeck/routing/outcomes.py
@@ -44,9 +44,9 @@
         Part of the request had been sent.
     AWAITING
         The whole request had been sent; no byte of a response had arrived.
-    ANSWERING
+    RECEIVING
         Part of a response had arrived.
-    ERROR_ANSWER
+    ERROR_RESPONSE
         The back end sent a complete response that reports an error.
     """
 
@@ -56,8 +56,8 @@
     REFUSED = "refused"
     SENDING = "sending"
     AWAITING = "awaiting"
-    ANSWERING = "answering"
-    ERROR_ANSWER = "error-answer"
+    RECEIVING = "answering"
+    ERROR_RESPONSE = "error-answer"
 
 
 class Decision(enum.Enum):
@@ -90,11 +90,11 @@
         return f"{self.phase.value}: {self.problem}"
 
 
-FULL = frozenset({FailurePhase.TURNED_AWAY, FailurePhase.REFUSED})
+REJECTED_PHASES = frozenset({FailurePhase.TURNED_AWAY, FailurePhase.REFUSED})
 """The back end was reached but accepts no more connections or requests."""
-UNREACHED = frozenset({FailurePhase.NOT_CONNECTED, FailurePhase.NOT_SENT})
+UNREACHED_PHASES = frozenset({FailurePhase.NOT_CONNECTED, FailurePhase.NOT_SENT})
 """No part of the request reached the back end, which did not reject it either."""
-SURELY_NOT_RUN = FULL | UNREACHED
+SURELY_NOT_RUN = REJECTED_PHASES | UNREACHED_PHASES
 
 
 @dataclass(frozen=True)
--- a/src/limedeck/routing/rules.py
+++ b/src/limedeck/routing/rules.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class KeyPlace:
+class KeyLocation:
     """The control group and position of a request's key.
 
     Parameters
@@ -47,7 +47,7 @@
 
     service: Service
     path: str
-    place: KeyPlace | None
+    place: KeyLocation | None
     repeatable: bool
 
 
@@ -75,7 +75,7 @@
     path = f"/{rest}?{query}" if query else f"/{rest}"
     place = None
     if service.sharing.ownership == OWNERSHIP_KEYED:
-        place = place_of_key(service, request_key(service, rest, query, headers))
+        place = locate_key(service, request_key(service, rest, query, headers))
     return RequestTarget(service, path, place, method in service.repeatable_methods)
 
 
@@ -109,11 +109,11 @@
     return key
 
 
-def place_of_key(service: Service, key: str) -> KeyPlace:
+def locate_key(service: Service, key: str) -> KeyLocation:
     """Return a key's position and its control group: the position modulo the number of groups."""
     position = key_position(key)
     count = max(service.sharing.control_groups, 1)
-    return KeyPlace(keyed_group(service.name, position % count, count), position)
+    return KeyLocation(keyed_group(service.name, position % count, count), position)
 
 
 def deadline_of(service: Service, header: str | None, now: Seconds) -> Seconds:
--- a/src/limedeck_lab/commands/simulate.py
+++ b/src/limedeck_lab/commands/simulate.py
@@ -12,8 +12,8 @@
 
 from limedeck.errors import LimedeckError
 from limedeck_lab.ownership import runs
-from limedeck_lab.ownership.faults import BY_NAME_ALONE
 from limedeck_lab.ownership.faults import FAULTS as OWNER_FAULTS
+from limedeck_lab.ownership.faults import FAULTS_RUN_ALONE
 from limedeck_lab.ownership.sabotage import SABOTAGES
 from limedeck_lab.simulation.faults import ALL_FAULTS, FAULTS
 from limedeck_lab.simulation.sabotage import PATCHES
@@ -82,7 +82,7 @@
         for name in VOTERS_ONLY_OPTIONS:
             if self.option(name):
                 raise BadOption(f"--{name} is an option of --core {VOTERS} only")
-        faults = self._faults(OWNER_FAULTS, (*OWNER_FAULTS, *BY_NAME_ALONE))
+        faults = self._faults(OWNER_FAULTS, (*OWNER_FAULTS, *FAULTS_RUN_ALONE))
         sabotage = self._sabotage(SABOTAGES)
         nodes, backends = _site_size(self._site())
         seconds = float(self.option("minutes")) * SECONDS_PER_MINUTE
--- a/src/limedeck_lab/experiment_balance.py
+++ b/src/limedeck_lab/experiment_balance.py
@@ -16,7 +16,7 @@
 from limedeck.control.balancing import MoveBudget
 from limedeck.control.timing import ControlLimits, ControlTiming
 from limedeck.identity import BackendId
-from limedeck.keyspace.hashing import KEY_LINE_END, key_position
+from limedeck.keyspace.hashing import KEYSPACE_END, key_position
 from limedeck.keyspace.planning import (
     initial_assignment,
     plan_balance_step,
@@ -264,4 +264,4 @@
 ) -> float:
     if map_before is None:
         return owners.count(backend) / len(owners)
-    return sum(item.end - item.start for item in map_before.slices_of(backend)) / KEY_LINE_END
+    return sum(item.end - item.start for item in map_before.slices_of(backend)) / KEYSPACE_END
--- a/src/limedeck_lab/explain/meanings.py
+++ b/src/limedeck_lab/explain/meanings.py
@@ -38,8 +38,8 @@
     FailurePhase.REFUSED: "the back end said that it does not run it",
     FailurePhase.SENDING: "the connection broke while it was sent",
     FailurePhase.AWAITING: "it was sent, and no usable answer came",
-    FailurePhase.ANSWERING: "the response broke off",
-    FailurePhase.ERROR_ANSWER: "the back end responded with an error",
+    FailurePhase.RECEIVING: "the response broke off",
+    FailurePhase.ERROR_RESPONSE: "the back end responded with an error",
 }
 CAUSES = {
     OwnerChangeCause.FIRST: "first assignment",
--- a/src/limedeck_lab/ownership/faults.py
+++ b/src/limedeck_lab/ownership/faults.py
@@ -33,7 +33,7 @@
     "holder_of_old_leader",
 )
 """Faults that may overlap. Their order determines which faults a seed draws."""
-BY_NAME_ALONE = (
+FAULTS_RUN_ALONE = (
     "backend_reborn",
     "owner_of_old_leader_reborn",
     "leader_paused",
@@ -44,7 +44,7 @@
 
 
 class WorldFaults:
-    """The faults of one deployment, by the names in `FAULTS` and `BY_NAME_ALONE`."""
+    """The faults of one deployment, by the names in `FAULTS` and `FAULTS_RUN_ALONE`."""
 
     def __init__(self, world: World) -> None:
         self._world = world
--- a/src/limedeck_lab/ownership/node.py
+++ b/src/limedeck_lab/ownership/node.py
@@ -61,7 +61,7 @@
         self.reaches_store = True
         self.reaches_backends = True
         self.reaches_nodes = True
-        self.slowness = 0.0
+        self.slowdown = 0.0
         """Multiple of `ORDER_PROCESSING_TIME` that orders take; at 0 they take no time."""
         self._processor = simpy.Resource(world.environment)
         self.identity = LeaderRecord(node_id=node_id, incarnation=incarnation)
@@ -266,7 +266,7 @@
 
     def _deliver(self, order: Grant | Release) -> Generator[simpy.Event, object, bool | None]:
         """Send an order; return None if there is no response in time."""
-        if not self.slowness:
+        if not self.slowdown:
             return (yield from self._exchange(order))
         # An exchange that timed out goes on and takes processor time from the orders after it.
         environment = self.world.environment
@@ -286,7 +286,7 @@
     def _process_order(self) -> Process:
         with self._processor.request() as turn:
             yield turn
-            yield self.world.environment.timeout(ORDER_PROCESSING_TIME * self.slowness)
+            yield self.world.environment.timeout(ORDER_PROCESSING_TIME * self.slowdown)
 
     def _exchange(self, order: Grant | Release) -> Generator[simpy.Event, object, bool | None]:
         environment = self.world.environment
--- a/src/limedeck_lab/simulation/backends.py
+++ b/src/limedeck_lab/simulation/backends.py
@@ -14,7 +14,7 @@
 from limedeck_lab.simulation.kernel import DriftingClock, Kernel
 from limedeck_lab.simulation.network import Place
 from limedeck_lab.simulation.processes import SimulatedProcess
-from limedeck_lab.standins.backend import BackendRules, HollowBackend, Refusal, Work
+from limedeck_lab.standins.backend import BackendRules, Refusal, StandInBackend, Work
 
 BackendResponse = Refusal | None
 """A refusal, or None if the request was run and its response is complete."""
@@ -67,7 +67,7 @@
         self.rules = rules
         self.executions: Counter[str] = Counter()
         """Executions of each request, by its id, over all runs of the process."""
-        self.core: HollowBackend
+        self.core: StandInBackend
         self.group = GroupId("")
         self._random = generator
         self._observer = observer
@@ -77,7 +77,7 @@
     def start(self) -> None:
         """Start a new run that owns no ranges."""
         super().start()
-        self.core = HollowBackend(
+        self.core = StandInBackend(
             self.configured.backend_id,
             Incarnation(self.run_number),
             self.size.slots,
--- a/src/limedeck_lab/simulation/nodes.py
+++ b/src/limedeck_lab/simulation/nodes.py
@@ -18,7 +18,7 @@
     LeaveRequested,
     MachinesReceived,
     PeerMessageReceived,
-    RecordAnswered,
+    RecordResponse,
     Tick,
 )
 from limedeck.control.group_record import ReadRecord, RecordEvent, WriteRecord
@@ -274,7 +274,7 @@
         run = self.run_number
 
         def respond(event: RecordEvent) -> None:
-            wrapped = RecordAnswered(command.group, event)
+            wrapped = RecordResponse(command.group, event)
             self.deliver_to_run(run, lambda: self.dispatch(wrapped))
 
         self._environment.platform.access_record(command, respond)
--- a/src/limedeck_lab/standins/backend.py
+++ b/src/limedeck_lab/standins/backend.py
@@ -11,7 +11,7 @@
 
 from limedeck.api.backend_pb2 import Fence, LeaseReply, LeaseRequest, RangeSet, SliceLoad
 from limedeck.identity import NEVER, Incarnation, Seconds
-from limedeck.keyspace.hashing import KEY_LINE_END
+from limedeck.keyspace.hashing import KEYSPACE_END
 from limedeck.keyspace.slices import RangeLookup
 
 LOAD_WINDOW: Seconds = 5.0
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class HollowBackend:
+class StandInBackend:
     """One run of one back end.
 
     Parameters
@@ -132,7 +132,7 @@
         return True
 
     def _set_ranges(self, owned: RangeSet, version: tuple[int, int]) -> None:
-        self._owned = RangeLookup((item.start, item.end or KEY_LINE_END) for item in owned.ranges)
+        self._owned = RangeLookup((item.start, item.end or KEYSPACE_END) for item in owned.ranges)
         self.owned_version = version
 
     def _settle(self) -> None:
--- a/src/limedeck_lab/standins/backend_server.py
+++ b/src/limedeck_lab/standins/backend_server.py
@@ -20,7 +20,7 @@
 from limedeck.daemon.control_host import LEASE_PATH, PROTOBUF_TYPE
 from limedeck.daemon.server import http_config
 from limedeck.node.asgi import Message, Receive, Scope, Send
-from limedeck_lab.standins.backend import HollowBackend, Refusal, Work
+from limedeck_lab.standins.backend import Refusal, StandInBackend, Work
 
 SERVER_GRACE = 2.0
 COLD_SECONDS = 5.0
@@ -93,7 +93,7 @@
     """A stand-in back end and the state of its HTTP side."""
 
     specification: BackendSpecification
-    backend: HollowBackend
+    backend: StandInBackend
     faults: BackendFaults = field(default_factory=BackendFaults)
     thawed: anyio.Event = field(default_factory=anyio.Event)
 
@@ -274,8 +274,8 @@
         await _respond(send, 200, content)
 
 
-def _new_backend(specification: BackendSpecification) -> HollowBackend:
-    return HollowBackend(
+def _new_backend(specification: BackendSpecification) -> StandInBackend:
+    return StandInBackend(
         specification.backend_id,
         new_incarnation(),
         specification.slots,
--- a/src/limedeck_lab/standins/row_store.py
+++ b/src/limedeck_lab/standins/row_store.py
@@ -28,7 +28,7 @@
 
     REFUSE = "refuse"
     OVER_RATE = "over-rate"
-    LOSE_ANSWER = "lose-answer"
+    LOSE_RESPONSE = "lose-answer"
     NONSENSE = "nonsense"
 
 
@@ -95,7 +95,7 @@
             return Response(status_code=429)
         if fault is Fault.NONSENSE:
             return Response("what?", status_code=200)
-        if fault is Fault.LOSE_ANSWER:
+        if fault is Fault.LOSE_RESPONSE:
             await anyio.sleep(self.patience)
         return None
 
@@ -115,7 +115,7 @@
         return self._response(200, rows, {self.words.more: len(wanted) > self.page})
 
     async def _transact(self, request: Request) -> Response:
-        if self.faults and self.faults[0] is not Fault.LOSE_ANSWER:
+        if self.faults and self.faults[0] is not Fault.LOSE_RESPONSE:
             failed = await self._fault()
             if failed is not None:
                 return failed
--- a/src/limedeck_lab/standins/silent_socket.py
+++ b/src/limedeck_lab/standins/silent_socket.py
@@ -16,7 +16,7 @@
 """BPF_RET from linux/bpf_common.h; its constant is the number of bytes of a segment to keep."""
 
 
-def make_deaf(connection: socket.socket) -> None:
+def drop_incoming(connection: socket.socket) -> None:
     """Drop everything that arrives on this connection from now on."""
     instruction = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
     program = struct.pack("HL", 1, ctypes.addressof(instruction))
--- a/tests/contract/row_stores.py
+++ b/tests/contract/row_stores.py
@@ -64,7 +64,7 @@
         return PlatformStore(address, TIMEOUT)
 
     def lose_next_response(self) -> None:
-        self.stand_in.faults.append(Fault.LOSE_ANSWER)
+        self.stand_in.faults.append(Fault.LOSE_RESPONSE)
 
     def refuse_next_call(self) -> None:
         self.stand_in.faults.append(Fault.OVER_RATE)
--- a/tests/contract/test_platform_store.py
+++ b/tests/contract/test_platform_store.py
@@ -55,7 +55,7 @@
     [
         (Fault.REFUSE, StoreRefused),
         (Fault.OVER_RATE, StoreRefused),
-        (Fault.LOSE_ANSWER, StoreUnavailable),
+        (Fault.LOSE_RESPONSE, StoreUnavailable),
         (Fault.NONSENSE, StoreProtocolError),
     ],
 )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -43,8 +43,8 @@
 BACKOFF_SECONDS = (0.4, 1.0, 3.0)
 REJECTING_SECONDS = (1.0, 6.0)
 EVACUATED_ZONE = "z2"
-STRANGE_PREFIX = "strange-"
-STRANGE_ENTRIES = (
+FOREIGN_ENTRY_PREFIX = "strange-"
+FOREIGN_ENTRY_VALUES = (
     b"",
     b"\xff\x00",
     b"{}",
@@ -178,14 +178,16 @@
         """End all lasting faults."""
         self._nodes.restart_nodes_ended_at_start()
         self._site.store.faults.clear()
-        for key in [key for key in self._site.store.rows if key[2].startswith(STRANGE_PREFIX)]:
+        for key in [
+            key for key in self._site.store.rows if key[2].startswith(FOREIGN_ENTRY_PREFIX)
+        ]:
             self._site.store.drop(*key)
         for upstream in self._site.upstreams:
             upstream.draining = False
             upstream.requested_backoff = 0.0
-            upstream.name_limit(b"")
+            upstream.state_limit(b"")
             if upstream.leaving:
-                self._portal.start_task_soon(upstream.begin_again)
+                self._portal.start_task_soon(upstream.restart_under_same_name)
             self._site.list_upstream(upstream)
 
     def _choose_node(self, source: random.Random) -> int:
@@ -233,9 +235,9 @@
     def _restart_backend(self, source: random.Random) -> None:
         """Restart a back end under its name, without its keys and fences, and sometimes cold."""
         upstream = source.choice(self._site.upstreams)
-        self._record_held_up(platform_site.DOWN_TIME)
+        self._record_held_up(platform_site.DOWN_SECONDS)
         warmup = source.choice([0.0, *WARMUP_SECONDS])
-        self._portal.call(upstream.begin_again, warmup)
+        self._portal.call(upstream.restart_under_same_name, warmup)
         self._judge.record_unplanned_fault()
 
     def _change_limit(self, source: random.Random) -> None:
@@ -245,7 +247,7 @@
         is_whole_service = source.random() < 0.3
         for upstream in self._site.upstreams:
             if upstream is chosen or (is_whole_service and upstream.service == chosen.service):
-                upstream.name_limit(limit)
+                upstream.state_limit(limit)
 
     def _leave(self, source: random.Random) -> None:
         """Announce in responses, and sometimes the entry, that a back end leaves; restart it."""
@@ -263,9 +265,9 @@
             upstream.draining = True
             self._site.list_upstream(upstream)
         time.sleep(source.uniform(*LEAVING_SECONDS))
-        self._record_held_up(platform_site.DOWN_TIME)
+        self._record_held_up(platform_site.DOWN_SECONDS)
         upstream.draining = False
-        self._portal.call(upstream.begin_again)
+        self._portal.call(upstream.restart_under_same_name)
         self._judge.record_unplanned_fault()
 
     def _request_backoff(self, source: random.Random) -> None:
@@ -287,12 +289,12 @@
     def _write_foreign_entries(self, source: random.Random) -> None:
         """Write entries of another writer; sometimes one replaces a back end's own for a while."""
         for number in range(source.randint(1, 3)):
-            key = f"{STRANGE_PREFIX}{number}"
-            self._site.store.put("servers", key, source.choice(STRANGE_ENTRIES))
+            key = f"{FOREIGN_ENTRY_PREFIX}{number}"
+            self._site.store.put("servers", key, source.choice(FOREIGN_ENTRY_VALUES))
         if source.random() < 0.3:
             upstream = source.choice(self._site.upstreams)
             self._judge.record_unplanned_fault()
-            self._site.store.put("servers", upstream.name, source.choice(STRANGE_ENTRIES))
+            self._site.store.put("servers", upstream.name, source.choice(FOREIGN_ENTRY_VALUES))
             time.sleep(source.uniform(0.1, 0.8))
             self._site.list_upstream(upstream)
             self._judge.record_unplanned_fault()
@@ -330,7 +332,7 @@
 
     def _crash(self, source: random.Random) -> None:
         """Send a request that crashes back ends repeatedly, each time to a random node."""
-        body = platform_site.CRASHING + b"-%d" % source.getrandbits(32)
+        body = platform_site.CRASH_MARKER + b"-%d" % source.getrandbits(32)
         path = source.choice(["/keyed/x", "/plain/x"])
         key = source.randrange(platform_site.KEYS)
         later = 0
@@ -345,14 +347,14 @@
     ) -> int:
         """Send the request; return how many back ends it crashed after all nodes must know it."""
         node = self._site.nodes[self._choose_node(source)]
-        before = self._site.crashes_under(body)
+        before = self._site.crash_times(body)
         began = time.monotonic()
         with contextlib.suppress(httpx.HTTPError):
             self._site.post(client, node, path, body, key)
         is_known = len(before) >= 3 and began > before[2] + judging.CRASH_UPDATE_TIME
         if not is_known or not self._judge.is_calm_since(began - judging.CRASH_UPDATE_TIME):
             return 0
-        return len(self._site.crashes_under(body)) - len(before)
+        return len(self._site.crash_times(body)) - len(before)
 
     def _degrade_connections(self, source: random.Random) -> None:
         modes = [proxy.Mode.DELAY, proxy.Mode.DROP_RESPONSES, proxy.Mode.SILENT]
@@ -381,7 +383,7 @@
         kinds = [
             row_store.Fault.REFUSE,
             row_store.Fault.OVER_RATE,
-            row_store.Fault.LOSE_ANSWER,
+            row_store.Fault.LOSE_RESPONSE,
             row_store.Fault.NONSENSE,
         ]
         self._judge.record_unplanned_fault()
--- a/tests/soak/judging.py
+++ b/tests/soak/judging.py
@@ -214,9 +214,9 @@
         ran = collections.Counter(request for request, _ in self._site.runs)
         self.report_all("ran twice", [item for item in sorted(self._unsafe) if ran[item] > 1])
         self.report_all("refused and yet run", [item for item in self._refused if ran[item]])
-        self.report_all("two owners", [str(pair) for pair in self._site.two_owners])
+        self.report_all("two owners", [str(pair) for pair in self._site.ownership_conflicts])
         self.report_all("no answer in a calm time", self._lost_in_calm(ran))
-        most = self._site.most_while_cold()
+        most = self._site.max_requests_while_cold()
         if most > MAX_REQUESTS_WHILE_COLD:
             self._report(f"{most} requests in a second at a cold back end")
         excesses = limit_judging.excesses(self._site.upstreams, self._senders, self._site.held_up)
@@ -226,7 +226,7 @@
         self.report_all("after its leaving announcement", late)
         during_backoff = statement_judging.requests_during_backoff(upstreams, self._sent, held_up)
         self.report_all("during back-off", during_backoff)
-        if not self._site.everything_is_held():
+        if not self._site.all_keys_are_owned():
             self._report("a key has no owner after healing")
 
     def _lost_in_calm(self, ran: collections.Counter[str]) -> list[str]:
--- a/tests/soak/limit_judging.py
+++ b/tests/soak/limit_judging.py
@@ -60,7 +60,7 @@
 def _limited_arrivals(upstream: platform_site.Upstream, senders: Mapping[str, str]) -> list[float]:
     """Return when requests arrived from nodes that had known a limit for `NODE_LIMIT_GRACE`."""
     informed_at: dict[str, float] = {}
-    for item in upstream.told:
+    for item in upstream.limit_responses:
         sender = senders.get(item.request)
         if sender is not None:
             informed_at.setdefault(sender, item.at)
@@ -74,8 +74,8 @@
 
 def _highest_limit(upstream: platform_site.Upstream, start: float, end: float) -> float | None:
     """Return the highest limit stated in a span; None if none was stated in a part of it."""
-    before = [limit for at, limit in upstream.limits_named if at <= start][-1:]
-    within = [limit for at, limit in upstream.limits_named if start < at < end]
+    before = [limit for at, limit in upstream.stated_limits if at <= start][-1:]
+    within = [limit for at, limit in upstream.stated_limits if start < at < end]
     named = before + within
     if not before or b"" in named:
         return None
@@ -85,7 +85,7 @@
 def _limited_since(upstream: platform_site.Upstream, until: float) -> float:
     """Return since when, up to a time, the back end has stated limits without interruption."""
     since = until
-    for at, limit in reversed(upstream.limits_named):
+    for at, limit in reversed(upstream.stated_limits):
         if at > until:
             continue
         if limit == b"":
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -76,7 +76,7 @@
     async def silence_all(self) -> None:
         """Drop everything that arrives on open connections, without closing them; new ones work."""
         for stream in list(self._streams):
-            silent_socket.make_deaf(stream.extra(anyio.abc.SocketAttribute.raw_socket))
+            silent_socket.drop_incoming(stream.extra(anyio.abc.SocketAttribute.raw_socket))
 
     async def _forward_connection(self, caller: anyio.abc.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
--- a/tests/soak/statement_judging.py
+++ b/tests/soak/statement_judging.py
@@ -54,7 +54,7 @@
     found = []
     for upstream in upstreams:
         announced_at: dict[tuple[str, int], float] = {}
-        for response in upstream.leaving_answers:
+        for response in upstream.leaving_responses:
             if response.request in sent:
                 announced_at.setdefault((sent[response.request].node, response.life), response.at)
         for arrival in upstream.arrivals_after_statement:
--- a/tests/system/platform_site.py
+++ b/tests/system/platform_site.py
@@ -39,9 +39,9 @@
 )
 KEYS = 65_536
 SERVICE_SECONDS = 0.02
-CRASHING = b"crash"
+CRASH_MARKER = b"crash"
 """A request whose body contains this crashes each upstream that runs it."""
-DOWN_TIME = 2.0
+DOWN_SECONDS = 2.0
 """Seconds until an upstream that has crashed is back."""
 Application = Callable[[dict[str, Any], Any, Any], Awaitable[None]]
 
@@ -72,11 +72,11 @@
         On the test's clock: until when it is cold, and when it ran requests while cold.
     limit
         Requests per second that its responses state as its limit; empty: they state none.
-    limits_named
+    stated_limits
         The limits that it stated, each with the time from which on, on the test's clock.
     arrivals
         Requests that it received while it stated a limit.
-    told
+    limit_responses
         Requests to which it responded with its limit, and when.
     leaving
         Whether its responses announce that it is leaving.
@@ -85,7 +85,7 @@
     arrivals_after_statement
         Requests that it received since it first announced leaving or requested back-off, except
         those for keys that it does not hold.
-    leaving_answers
+    leaving_responses
         Requests to which it responded with a leaving announcement, and when.
     backoff_requests
         Its requests for back-off.
@@ -110,13 +110,13 @@
     cold_until: float = 0.0
     cold_runs: list[float] = field(default_factory=list)
     limit: bytes = b""
-    limits_named: list[tuple[float, bytes]] = field(default_factory=list)
+    stated_limits: list[tuple[float, bytes]] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    told: list[Arrival] = field(default_factory=list)
+    limit_responses: list[Arrival] = field(default_factory=list)
     leaving: bool = False
     requested_backoff: float = 0.0
     arrivals_after_statement: list[Arrival] = field(default_factory=list)
-    leaving_answers: list[Arrival] = field(default_factory=list)
+    leaving_responses: list[Arrival] = field(default_factory=list)
     backoff_requests: list[BackoffRequest] = field(default_factory=list)
     down: bool = False
     draining: bool = False
@@ -181,7 +181,12 @@
         if self.keyed and not self.holds(key):
             await _respond(send, 421, [*echo, (b"x-not-executed", b"1")])
             return
-        if self.leaving or self.requested_backoff or self.leaving_answers or self.backoff_requests:
+        if (
+            self.leaving
+            or self.requested_backoff
+            or self.leaving_responses
+            or self.backoff_requests
+        ):
             self.arrivals_after_statement.append(self._arrival(request_id))
         if self.requested_backoff:
             await self._reject_with_backoff(request_id, echo, send)
@@ -190,17 +195,17 @@
         if time.monotonic() < self.cold_until:
             self.cold_runs.append(time.monotonic())
         await anyio.sleep(SERVICE_SECONDS)
-        if CRASHING in body and self.proxy is not None and not self.down:
+        if CRASH_MARKER in body and self.proxy is not None and not self.down:
             self.site.crashes.append(Crash(time.monotonic(), body, self.name))
             await self._crash(self.proxy)
             return
         signed = [*echo, (b"x-upstream-signature", self.name.encode())]
         if self.leaving:
             signed.append((b"server-leaving", b"1"))
-            self.leaving_answers.append(self._arrival(request_id))
+            self.leaving_responses.append(self._arrival(request_id))
         limited = [(b"server-limit", self.limit)] if self.limit else []
         if limited:
-            self.told.append(Arrival(time.monotonic(), request_id.decode()))
+            self.limit_responses.append(Arrival(time.monotonic(), request_id.decode()))
         await _respond(send, 200, [*signed, *limited], request_id + b":" + body)
 
     def _arrival(self, request_id: bytes) -> Arrival:
@@ -211,7 +216,7 @@
     ) -> None:
         leaving = [(b"server-leaving", b"1")] if self.leaving else []
         if leaving:
-            self.leaving_answers.append(self._arrival(request_id))
+            self.leaving_responses.append(self._arrival(request_id))
         self.backoff_requests.append(
             BackoffRequest(self._arrival(request_id), self.requested_backoff)
         )
@@ -219,9 +224,9 @@
         await _respond(send, 503, [*echo, (b"x-not-executed", b"1"), retry_after, *leaving])
 
     async def _crash(self, proxy: FaultyProxy) -> None:
-        """Crash, and restart after `DOWN_TIME` under another name and without any keys."""
+        """Crash, and restart after `DOWN_SECONDS` under another name and without any keys."""
         self.down = True
-        await proxy.crash(DOWN_TIME)
+        await proxy.crash(DOWN_SECONDS)
         self.held = {}
         self.released = []
         former_name = self.name
@@ -229,13 +234,13 @@
         self._reset_statements()
         self.name = f"{former_name.partition('.')[0]}.{self.renamed_restarts}"
         with anyio.CancelScope(shield=True):
-            await anyio.sleep(DOWN_TIME)
+            await anyio.sleep(DOWN_SECONDS)
         self.down = False
         self.site.store.drop("servers", "", former_name)
         self.site.list_upstream(self)
 
-    async def begin_again(self, warmup: float = 0.0) -> None:
-        """Crash, and restart after `DOWN_TIME` under the same name and without any keys.
+    async def restart_under_same_name(self, warmup: float = 0.0) -> None:
+        """Crash, and restart after `DOWN_SECONDS` under the same name and without any keys.
 
         Parameters
         ----------
@@ -245,11 +250,11 @@
         if self.proxy is None or self.down:
             return
         self.down = True
-        await self.proxy.crash(DOWN_TIME)
+        await self.proxy.crash(DOWN_SECONDS)
         self.held = {}
         self.released = []
         self._reset_statements()
-        await anyio.sleep(DOWN_TIME)
+        await anyio.sleep(DOWN_SECONDS)
         self.started_ms = time.time_ns() // 1_000_000
         self.cold_until = time.monotonic() + warmup
         self.down = False
@@ -260,10 +265,10 @@
         self.leaving = False
         self.requested_backoff = 0.0
 
-    def name_limit(self, limit: bytes) -> None:
+    def state_limit(self, limit: bytes) -> None:
         """State this limit in responses from now on; none if it is empty."""
         self.limit = limit
-        self.limits_named.append((time.monotonic(), limit))
+        self.stated_limits.append((time.monotonic(), limit))
 
     def max_arrivals(self, seconds: float, since: float) -> int:
         """Return the most requests received in a period of this length while it stated a limit.
@@ -406,7 +411,7 @@
     ----------
     runs
         Ids of the requests that ran, each with the name of the upstream.
-    two_owners
+    ownership_conflicts
         Pairs of upstreams that had leases for the same key at the same time.
     sent
         Number of requests sent so far; request ids are made from it.
@@ -425,7 +430,7 @@
     upstreams: list[Upstream] = field(default_factory=list)
     nodes: list[NodeProcess] = field(default_factory=list)
     runs: list[tuple[str, str]] = field(default_factory=list)
-    two_owners: list[tuple[str, str]] = field(default_factory=list)
+    ownership_conflicts: list[tuple[str, str]] = field(default_factory=list)
     crashes: list[Crash] = field(default_factory=list)
     sent: int = 0
     restarts: int = 0
@@ -445,7 +450,7 @@
         )
         for (one, owner), (other, other_owner) in itertools.pairwise(spans):
             if owner != other_owner and _overlap(one, other):
-                self.two_owners.append((owner, other_owner))
+                self.ownership_conflicts.append((owner, other_owner))
 
     def restart_nodes(self) -> None:
         """Restart every node whose process has ended."""
@@ -486,16 +491,16 @@
         return client.post(url, headers=self._headers(key), content=body).status_code
 
     def restart_cold(self, upstream: Upstream, warmup: float) -> None:
-        """Crash an upstream, which restarts cold under the same name after `DOWN_TIME`.
+        """Crash an upstream, which restarts cold under the same name after `DOWN_SECONDS`.
 
         Parameters
         ----------
         warmup
             Seconds for which it is cold after the restart.
         """
-        self.start_soon(upstream.begin_again, warmup)
+        self.start_soon(upstream.restart_under_same_name, warmup)
 
-    def most_while_cold(self) -> int:
+    def max_requests_while_cold(self) -> int:
         """Return the most requests that a cold upstream ran in any second."""
         return max(
             (
@@ -506,7 +511,7 @@
             default=0,
         )
 
-    def crashes_under(self, body: bytes) -> list[float]:
+    def crash_times(self, body: bytes) -> list[float]:
         """Return when upstreams crashed while they ran a request with this body."""
         return [crash.at for crash in self.crashes if crash.body == body]
 
@@ -519,7 +524,7 @@
             "x-shard-key": str(key),
         }
 
-    def everything_is_held(self) -> bool:
+    def all_keys_are_owned(self) -> bool:
         """Whether some upstream has a lease for each key of a sample."""
         keyed = [upstream for upstream in self.upstreams if upstream.keyed]
         return all(
@@ -637,7 +642,7 @@
             for number in range(nodes):
                 site.nodes.append(site.launch_node(number, 0))
             wait_until(lambda: all(node.is_ready() for node in site.nodes), "nodes are ready")
-            wait_until(site.everything_is_held, "all keys have owners")
+            wait_until(site.all_keys_are_owned, "all keys have owners")
             yield site
         finally:
             for node in site.nodes:
--- a/tests/system/test_crashing_requests.py
+++ b/tests/system/test_crashing_requests.py
@@ -25,7 +25,7 @@
 from limedeck_lab.processes import wait_until
 from limedeck_lab.standins.row_store import Fault
 from tests.system.platform_site import (
-    CRASHING,
+    CRASH_MARKER,
     ROUTES,
     NodeProcess,
     Site,
@@ -105,7 +105,7 @@
             return statuses
         if not node.process.is_running:
             continue
-        statuses[site.post(client, node, path, CRASHING)] += 1
+        statuses[site.post(client, node, path, CRASH_MARKER)] += 1
         time.sleep(RETRY_DELAY)
     raise AssertionError
 
@@ -138,7 +138,7 @@
     end = time.monotonic() + OBSERVATION_SECONDS
     repeat_crashing_request(site, client, lambda: time.monotonic() < end, KEYED_PATH)
     assert len(site.crashes) - earlier_crashes <= MAX_LATER_CRASHES
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
 
 
 def test_unsafe_request_is_quarantined_when_its_caller_repeats_it(
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -78,7 +78,7 @@
 ) -> None:
     limited = [item for item in site.upstreams if not item.keyed]
     for upstream in limited:
-        upstream.name_limit(b"0")
+        upstream.state_limit(b"0")
     request = Caller(site).send_until("/plain/x", 503)
     explanation = explain(request, tmp_path)
     assert "came in for plain, route" in explanation
--- a/tests/system/test_leaving_and_rest.py
+++ b/tests/system/test_leaving_and_rest.py
@@ -63,7 +63,7 @@
         for upstream in unkeyed_upstreams(site)[:2]:
             upstream.leaving = True
         time.sleep(OBSERVATION_SECONDS)
-    assert all(upstream.leaving_answers for upstream in unkeyed_upstreams(site)[:2])
+    assert all(upstream.leaving_responses for upstream in unkeyed_upstreams(site)[:2])
     assert late_requests(site, callers) == []
     assert callers.statuses[200] == callers.statuses.total()
 
@@ -78,7 +78,7 @@
             time.sleep(1.0)
             owner.leaving = True
             time.sleep(OBSERVATION_SECONDS)
-    assert owner.leaving_answers
+    assert owner.leaving_responses
     assert late_requests(site, callers) == []
     assert set(callers.statuses) <= {200, 503}
 
@@ -93,7 +93,7 @@
         next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
         time.sleep(OBSERVATION_SECONDS)
     assert late_requests(site, callers) == []
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
     assert set(callers.statuses) <= {0, 200, 503}
     assert callers.statuses[0] <= THREADS
     assert not owner.holds(0)
--- a/tests/system/test_limits.py
+++ b/tests/system/test_limits.py
@@ -61,7 +61,7 @@
     limited = unkeyed_upstreams(site)[0]
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
-        limited.name_limit(b"4.2")
+        limited.state_limit(b"4.2")
         stated_at = time.monotonic()
         time.sleep(BINDING_SECONDS + OBSERVATION_SECONDS)
     assert_limit_kept(limited, stated_at)
@@ -76,13 +76,13 @@
     owner = next(item for item in site.upstreams if item.holds(0))
     with PacedCallers(site, "/keyed/x", RATE).calling() as callers:
         time.sleep(1.0)
-        owner.name_limit(b"4.2")
+        owner.state_limit(b"4.2")
         stated_at = time.monotonic()
         time.sleep(BINDING_SECONDS)
         next(node for node in site.nodes if is_leader(node)).process.signal(signal.SIGKILL)
         time.sleep(OBSERVATION_SECONDS)
     assert_limit_kept(owner, stated_at)
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
     assert set(callers.statuses) <= {0, 200, 503}
     assert callers.statuses[0] <= THREADS
 
@@ -94,7 +94,7 @@
     with PacedCallers(site, "/plain/x", RATE).calling() as callers:
         time.sleep(1.0)
         for upstream in limited:
-            upstream.name_limit(b"3.2")
+            upstream.state_limit(b"3.2")
         stated_at = time.monotonic()
         time.sleep(BINDING_SECONDS + OBSERVATION_SECONDS)
     for upstream in limited:
@@ -111,12 +111,12 @@
     unlimited = limited[0]
     with PacedCallers(site, "/plain/x", RATE).calling():
         for upstream in limited:
-            upstream.name_limit(b"2")
+            upstream.state_limit(b"2")
         time.sleep(BINDING_SECONDS)
         first = len(site.runs)
         time.sleep(2.0)
         while_limited = [name for _, name in site.runs[first:]].count(unlimited.name)
-        unlimited.name_limit(b"")
+        unlimited.state_limit(b"")
 
         def takes_most_requests() -> bool:
             latest = [name for _, name in site.runs[-int(RATE) :]]
--- a/tests/system/test_node_questions.py
+++ b/tests/system/test_node_questions.py
@@ -83,7 +83,7 @@
 
 def test_limited_back_end_is_shown_with_its_rate_bound(site: platform_site.Site) -> None:
     limited = next(item for item in site.upstreams if not item.keyed)
-    limited.name_limit(b"%g" % STATED_LIMIT)
+    limited.state_limit(b"%g" % STATED_LIMIT)
     with httpx.Client(timeout=4.0, trust_env=False) as client:
         for _ in range(30):
             site.send(client, site.nodes[0], "/plain/x", 1)
--- a/tests/system/test_node_site.py
+++ b/tests/system/test_node_site.py
@@ -19,7 +19,7 @@
 def site(tmp_path: Path) -> Iterator[Site]:
     with running_site(tmp_path) as running:
         yield running
-        assert running.two_owners == []
+        assert running.ownership_conflicts == []
 
 
 @pytest.fixture
@@ -89,7 +89,7 @@
 
     def has_moved() -> bool:
         statuses.update(send_many(site, client, 12))
-        return not leaving.held and site.everything_is_held()
+        return not leaving.held and site.all_keys_are_owned()
 
     wait_until(has_moved, "the keys of the draining upstream have moved")
     statuses.update(send_many(site, client, 30))
@@ -119,7 +119,7 @@
     leader.signal(signal.SIGKILL)
     leader.wait()
     wait_until(lambda: leader_of_or_none(site) is not None, "another node leads")
-    wait_until(site.everything_is_held, "all keys have owners")
+    wait_until(site.all_keys_are_owned, "all keys have owners")
     assert set(send_many(site, client, 20)) == {200}
     assert {item.name: sorted(item.held) for item in site.upstreams if item.keyed} == before
 
--- a/tests/system/test_zones_and_lives.py
+++ b/tests/system/test_zones_and_lives.py
@@ -117,7 +117,7 @@
     site.store.drop("op", "", "evacuate/z1")
     served.call_until(time.monotonic() + 3.0)
     assert runs_in_zone(site, "z1", first_run) != []
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
 
 
 def test_back_ends_that_restart_cold_get_no_request_while_others_are_warm(
@@ -128,7 +128,7 @@
     restarted = [item for item in site.upstreams if item.zone == "z1"]
     for upstream in restarted:
         site.restart_cold(upstream, WARMUP_SECONDS)
-    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + PROPAGATION_SECONDS)
+    callers.call_until(time.monotonic() + platform_site.DOWN_SECONDS + PROPAGATION_SECONDS)
     fail_leader_and_store(site)
     callers.call_until(time.monotonic() + 2.0)
     restore(site)
@@ -140,7 +140,7 @@
     served = Callers(site)
     served.call_until(time.monotonic() + 2.0)
     assert served.statuses[200] >= 0.95 * served.statuses.total()
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
 
 
 def test_keys_are_reassigned_after_their_owner_restarts_under_its_name(
@@ -149,25 +149,25 @@
     callers = Callers(site)
     owner = next(item for item in site.upstreams if item.keyed and item.held)
     site.restart_cold(owner, 0.0)
-    callers.call_until(time.monotonic() + 0.5 * platform_site.DOWN_TIME)
+    callers.call_until(time.monotonic() + 0.5 * platform_site.DOWN_SECONDS)
     fail_leader_and_store(site)
-    callers.call_until(time.monotonic() + platform_site.DOWN_TIME + PROPAGATION_SECONDS)
+    callers.call_until(time.monotonic() + platform_site.DOWN_SECONDS + PROPAGATION_SECONDS)
     restore(site)
-    wait_until(site.everything_is_held, "all keys are held")
+    wait_until(site.all_keys_are_owned, "all keys are held")
     callers.call_until(time.monotonic() + 2.0)
     served = Callers(site)
     served.call_until(time.monotonic() + 2.0)
     assert served.statuses[200] >= 0.95 * served.statuses.total()
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
 
 
 def test_entries_of_other_writers_change_nothing(site: platform_site.Site) -> None:
     """One of the entries replaces that of a back end."""
     callers = Callers(site)
-    for number, entry in enumerate(faults.STRANGE_ENTRIES):
-        site.store.put("servers", f"{faults.STRANGE_PREFIX}{number}", entry)
+    for number, entry in enumerate(faults.FOREIGN_ENTRY_VALUES):
+        site.store.put("servers", f"{faults.FOREIGN_ENTRY_PREFIX}{number}", entry)
     overwritten = next(item for item in site.upstreams if not item.keyed)
-    site.store.put("servers", overwritten.name, faults.STRANGE_ENTRIES[0])
+    site.store.put("servers", overwritten.name, faults.FOREIGN_ENTRY_VALUES[0])
     callers.call_until(time.monotonic() + PROPAGATION_SECONDS)
     fail_leader_and_store(site)
     first_run = len(site.runs)
@@ -180,4 +180,4 @@
     served.call_until(time.monotonic() + 2.0)
     assert served.statuses[200] >= 0.95 * served.statuses.total()
     assert any(name == overwritten.name for _, name in site.runs)
-    assert site.two_owners == []
+    assert site.ownership_conflicts == []
--- a/tests/unit/test_crash_updates.py
+++ b/tests/unit/test_crash_updates.py
@@ -33,7 +33,7 @@
     WriteResult,
 )
 from limedeck_lab import processes
-from tests.unit import polling, test_telling
+from tests.unit import polling, test_statuses
 
 pytestmark = pytest.mark.anyio
 BAD = 0xFFFF_0000_1234_5678
@@ -125,10 +125,10 @@
     now = clock.steady_clock()
     async with anyio.create_task_group() as tasks:
         for state, address in zip(states, addresses, strict=True):
-            host, _ = test_telling.leader()
+            host, _ = test_statuses.leader()
             host._state = state
             listener = followers.FollowerConnections(
-                address, "z1", host, table_exchange.TableExchange(()), test_telling.TIMING
+                address, "z1", host, table_exchange.TableExchange(()), test_statuses.TIMING
             )
             tasks.start_soon(listener.serve)
             gossip = crash_gossip.CrashGossip(state, lambda: False, "127.0.0.1")
@@ -144,9 +144,9 @@
 
 async def test_crash_updates_do_not_make_the_sender_a_follower() -> None:
     (port,) = processes.free_ports(1)
-    host, state = test_telling.leader()
+    host, state = test_statuses.leader()
     connections = followers.FollowerConnections(
-        f"127.0.0.1:{port}", "z1", host, table_exchange.TableExchange(()), test_telling.TIMING
+        f"127.0.0.1:{port}", "z1", host, table_exchange.TableExchange(()), test_statuses.TIMING
     )
     ledger = quarantine.QuarantineLedger("other")
     record_crashes(ledger, 0.0)
--- a/tests/unit/test_forwarding.py
+++ b/tests/unit/test_forwarding.py
@@ -226,8 +226,8 @@
         (FailurePhase.SENDING, False, "unknown"),
         (FailurePhase.AWAITING, True, "retry"),
         (FailurePhase.AWAITING, False, "unknown"),
-        (FailurePhase.ANSWERING, True, "retry"),
-        (FailurePhase.ANSWERING, False, "unknown"),
+        (FailurePhase.RECEIVING, True, "retry"),
+        (FailurePhase.RECEIVING, False, "unknown"),
     ],
 )
 def test_what_follows_a_failure(phase: FailurePhase, repeatable: bool, expected: str) -> None:
--- a/tests/unit/test_http_client.py
+++ b/tests/unit/test_http_client.py
@@ -116,16 +116,16 @@
         (Script([b""], close=True), FailurePhase.AWAITING),
         (Script([b"no such protocol\r\n\r\n"]), FailurePhase.AWAITING),
         (Script([b"HTTP/1.1 200 OK\r\ncontent-l"], close=True), FailurePhase.AWAITING),
-        (Script([OK[:-1]], close=True), FailurePhase.ANSWERING),
+        (Script([OK[:-1]], close=True), FailurePhase.RECEIVING),
         (
             Script([b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok"], close=True),
-            FailurePhase.ANSWERING,
+            FailurePhase.RECEIVING,
         ),
         (
             Script([b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n"]),
-            FailurePhase.ANSWERING,
+            FailurePhase.RECEIVING,
         ),
-        (Script([UNFRAMED], reset=True), FailurePhase.ANSWERING),
+        (Script([UNFRAMED], reset=True), FailurePhase.RECEIVING),
     ],
     ids=["nothing", "garbage", "half-head", "short", "no-last-chunk", "bad-chunk", "reset"],
 )
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -8,7 +8,7 @@
 from limedeck.errors import InvariantViolation
 from limedeck.identity import BackendId, GroupId, Incarnation
 from limedeck.keyspace.slices import Slice
-from limedeck_lab.standins.backend import BackendRules, HollowBackend, Refusal, Work
+from limedeck_lab.standins.backend import BackendRules, Refusal, StandInBackend, Work
 
 TIMING = ControlTiming()
 BACKEND = BackendId("backend")
@@ -25,7 +25,7 @@
     def __init__(self, rules: BackendRules | None = None, term: int = 1) -> None:
         self.table = LeaseTable(GroupId("group"), term, TIMING, elected_at=0.0)
         self.table.track({BACKEND: "127.0.0.1:1"})
-        self.backend = HollowBackend(BACKEND, Incarnation(7), 2, 8, True, rules or BackendRules())
+        self.backend = StandInBackend(BACKEND, Incarnation(7), 2, 8, True, rules or BackendRules())
 
     def request(self, now: float, *owned: Slice) -> LeaseExchange:
         lease = self.table.lease(BACKEND)
@@ -94,7 +94,7 @@
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
     exchange.round_trip(1.1, SLICE)
-    exchange.backend = HollowBackend(BACKEND, Incarnation(8), 2, 8, True)
+    exchange.backend = StandInBackend(BACKEND, Incarnation(8), 2, 8, True)
     reply = exchange.round_trip(1.2, SLICE)
     assert not reply.accepted
     assert not exchange.serves(1.2)
@@ -106,7 +106,7 @@
 def test_an_older_incarnation_is_an_invariant_violation() -> None:
     exchange = Exchange()
     exchange.round_trip(1.0, SLICE)
-    exchange.backend = HollowBackend(BACKEND, Incarnation(6), 2, 8, True)
+    exchange.backend = StandInBackend(BACKEND, Incarnation(6), 2, 8, True)
     with pytest.raises(InvariantViolation):
         exchange.round_trip(1.2, SLICE)
 
--- a/tests/unit/test_ownership_stateful.py
+++ b/tests/unit/test_ownership_stateful.py
@@ -16,7 +16,7 @@
 from limedeck.control.timing import ControlTiming
 from limedeck.identity import BackendId, Fence, GroupId, Incarnation
 from limedeck.keyspace.slices import Slice
-from limedeck_lab.standins.backend import HollowBackend
+from limedeck_lab.standins.backend import StandInBackend
 
 TIMING = ControlTiming()
 NAMES = [BackendId("a"), BackendId("b")]
@@ -48,8 +48,8 @@
         self.replies: list[PendingReply] = []
         self.elect()
 
-    def start_backend(self, name: BackendId, incarnation: int) -> HollowBackend:
-        return HollowBackend(name, Incarnation(incarnation), 2, 8, True)
+    def start_backend(self, name: BackendId, incarnation: int) -> StandInBackend:
+        return StandInBackend(name, Incarnation(incarnation), 2, 8, True)
 
     def clock(self, name: BackendId) -> float:
         return self.offsets[name] + self.now * self.rates[name]
--- a/tests/unit/test_ownership_world.py
+++ b/tests/unit/test_ownership_world.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limedeck_lab.ownership.faults import BY_NAME_ALONE, FAULTS
+from limedeck_lab.ownership.faults import FAULTS, FAULTS_RUN_ALONE
 from limedeck_lab.ownership.runs import (
     MAX_PERMITS,
     RunPlan,
@@ -63,7 +63,7 @@
     assert caught == list(SABOTAGE_SEEDS) if name in CAUGHT_IN_EACH_SEED else caught
 
 
-@pytest.mark.parametrize("fault", BY_NAME_ALONE)
+@pytest.mark.parametrize("fault", FAULTS_RUN_ALONE)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_violation_under_faults_that_run_alone(seed: int, fault: str) -> None:
     """Later incarnations get no keys through orders to former ones, even if grants arrive late or a
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -156,13 +156,13 @@
 FAILED_ATTEMPT_CASES = [
     ("GET", FailurePhase.NOT_CONNECTED, None),
     ("GET", FailurePhase.AWAITING, None),
-    ("GET", FailurePhase.ANSWERING, None),
+    ("GET", FailurePhase.RECEIVING, None),
     ("POST", FailurePhase.NOT_CONNECTED, None),
     ("POST", FailurePhase.NOT_SENT, None),
     ("POST", FailurePhase.REFUSED, None),
     ("POST", FailurePhase.SENDING, Outcome.UNKNOWN),
     ("POST", FailurePhase.AWAITING, Outcome.UNKNOWN),
-    ("POST", FailurePhase.ANSWERING, Outcome.UNKNOWN),
+    ("POST", FailurePhase.RECEIVING, Outcome.UNKNOWN),
 ]
 
 
--- a/tests/unit/test_silent_connections.py
+++ b/tests/unit/test_silent_connections.py
@@ -17,7 +17,7 @@
 from limedeck.clock import steady_clock
 from limedeck.http_client import UNACKNOWLEDGED, HttpClient, HttpRequest
 from limedeck.routing.outcomes import AttemptFailed, FailurePhase
-from limedeck_lab.standins.silent_socket import make_deaf
+from limedeck_lab.standins.silent_socket import drop_incoming
 
 pytestmark = pytest.mark.anyio
 EXCHANGE_TIMEOUT = 20.0
@@ -51,7 +51,7 @@
     def drop_received_packets(self) -> None:
         """Make all open connections drop everything that they receive."""
         for stream in self.streams:
-            make_deaf(stream.extra(SocketAttribute.raw_socket))
+            drop_incoming(stream.extra(SocketAttribute.raw_socket))
 
 
 @asynccontextmanager
--- a/tests/unit/test_slices.py
+++ b/tests/unit/test_slices.py
@@ -8,11 +8,11 @@
 
 from limedeck.api.peer_pb2 import AssignmentChange
 from limedeck.errors import InvariantViolation
-from limedeck.keyspace.hashing import KEY_LINE_END, equal_slice_starts, key_position
+from limedeck.keyspace.hashing import KEYSPACE_END, equal_slice_starts, key_position
 from limedeck.keyspace.slices import RangeLookup, SliceMap, change_of, slice_map_from
 from limedeck.measures import UnavailableTime, churn, intersect, overlap, subtract, uncovered
 
-POSITIONS = st.integers(min_value=0, max_value=KEY_LINE_END - 1)
+POSITIONS = st.integers(min_value=0, max_value=KEYSPACE_END - 1)
 OWNERS = st.sampled_from(["a", "b", "c", ""])
 MAPS = st.dictionaries(POSITIONS, OWNERS, max_size=12).flatmap(
     lambda owners: st.just({**owners, 0: owners.get(0, "a")})
@@ -76,13 +76,13 @@
 def test_churn_is_the_fraction_that_changed_owner(old: dict[int, str], new: dict[int, str]) -> None:
     before = slice_map_from(change_of(old.items()))
     after = slice_map_from(change_of(new.items()))
-    boundaries = sorted({*old, *new, KEY_LINE_END})
+    boundaries = sorted({*old, *new, KEYSPACE_END})
     moved = sum(
         end - start
         for start, end in pairwise(boundaries)
         if before.locate(start).owner != after.locate(start).owner
     )
-    assert churn(before, after) == pytest.approx(moved / KEY_LINE_END)
+    assert churn(before, after) == pytest.approx(moved / KEYSPACE_END)
 
 
 def test_ranges_are_intersected_and_subtracted() -> None:
@@ -94,7 +94,7 @@
 
 def test_unserved_time_is_counted_for_each_part_of_the_key_space() -> None:
     watch = UnavailableTime()
-    half, quarter = KEY_LINE_END // 2, KEY_LINE_END // 4
+    half, quarter = KEYSPACE_END // 2, KEYSPACE_END // 4
     watch.observe([(0, half)], 1.0)
     watch.observe([(0, quarter)], 3.0)
     watch.observe([], 6.0)
@@ -104,4 +104,4 @@
 
 
 def test_equal_slice_starts_divide_the_key_space_evenly() -> None:
-    assert equal_slice_starts(4) == [0, KEY_LINE_END // 4, KEY_LINE_END // 2, 3 * KEY_LINE_END // 4]
+    assert equal_slice_starts(4) == [0, KEYSPACE_END // 4, KEYSPACE_END // 2, 3 * KEYSPACE_END // 4]
--- a/tests/unit/test_slow_leader.py
+++ b/tests/unit/test_slow_leader.py
@@ -35,9 +35,9 @@
         world.environment.run(until=SETTLE_SECONDS)
         written = recorded(world).sequence
         leader = next(item for item in world.nodes.values() if item.core is not None)
-        leader.slowness = SLOWDOWN
+        leader.slowdown = SLOWDOWN
         unserved = max_unserved(world, SLOW_SECONDS)
-        leader.slowness = 0.0
+        leader.slowdown = 0.0
         unserved = max(unserved, max_unserved(world, SETTLE_SECONDS))
         assert world.found == []
         assert unserved == 0, f"seed {seed}"
--- a/tests/unit/test_soak_parts.py
+++ b/tests/unit/test_soak_parts.py
@@ -110,7 +110,7 @@
         upstream.held = {(0, 9): (1, 1e12)}
         site.upstreams.append(upstream)
     site.judge()
-    return site.two_owners
+    return site.ownership_conflicts
 
 
 def test_two_owners_of_a_key_are_detected() -> None:
@@ -291,7 +291,7 @@
     upstream = platform_site.Upstream("i", "plain", False, "", site)
     site.upstreams.append(upstream)
     upstream.cold_runs = [number / 20 for number in range(judging.MAX_REQUESTS_WHILE_COLD)]
-    assert site.most_while_cold() == judging.MAX_REQUESTS_WHILE_COLD
+    assert site.max_requests_while_cold() == judging.MAX_REQUESTS_WHILE_COLD
     judging.Judge(result, site).judge_end()
     assert not any("cold" in item for item in result.violations)
     upstream.cold_runs.append(0.99)
@@ -301,8 +301,8 @@
 
 def limited_upstream(limits: list[tuple[float, bytes]]) -> platform_site.Upstream:
     upstream = platform_site.Upstream("i", "plain", False, "", platform_site.Site())
-    upstream.limits_named = limits
-    upstream.told = [platform_site.Arrival(0.1, "first")]
+    upstream.stated_limits = limits
+    upstream.limit_responses = [platform_site.Arrival(0.1, "first")]
     return upstream
 
 
@@ -388,7 +388,7 @@
 ) -> None:
     upstream = platform_site.Upstream("a", "s", False, "127.0.0.1:1", judging.JudgedSite())
     sent = requests_every(0.5, 4.0)
-    upstream.leaving_answers.append(platform_site.Arrival(0.0, "0"))
+    upstream.leaving_responses.append(platform_site.Arrival(0.0, "0"))
     upstream.arrivals_after_statement.append(platform_site.Arrival(last + 0.01, f"{last:g}", life))
     found = statement_judging.requests_after_leaving([upstream], sent, held_up)
     assert bool(found) is is_reported
